--- a/src/gateway/planning/admission.ts
+++ b/src/gateway/planning/admission.ts
@@ -1,143 +1,160 @@
 /**
- * Forecasts when the pool of one service can begin with a request, and refuses
- * at once what it can't begin before the caller gives up. A request that will be
- * late waits only where the pool has time for it: on-time requests that arrive
- * later go before it, so in a pool that is offered more than it can hold it
- * would wait in vain.
+ * Forecasts when the pool of one service can start a request, and refuses
+ * requests that can't start before their callers time out. A request that will
+ * miss its deadline is queued only if the pool has spare capacity: requests
+ * that arrive later and can still meet theirs are scheduled first, so in an
+ * overloaded pool it would never start.
  */
 import type { Milliseconds } from "../../util/units.ts";
 import { LEAST_PER_SECOND } from "../limits/allowance.ts";
-import { RecentSum } from "./recent_sum.ts";
+import { DecayingSum } from "./recent_sum.ts";
 
-/** Life of a place before one has ended. */
-const FIRST_LIFE_MS = 4000;
-/** Part of the old mean that stays with each new life. */
-const LIFE_MEMORY = 0.95;
-/** Part of the free memory that can be used: requests don't fit exactly. */
-const FREE_USE = 0.8;
-/** A refused request is known again for so long. */
-const REMEMBER_MS = 12_000;
+/** Assumed lifetime of an assignment until one has ended. */
+const INITIAL_LIFETIME_MS = 4000;
+/** Weight of the previous mean when a lifetime is averaged in. */
+const LIFETIME_DECAY = 0.95;
 /**
- * Callers that are refused together come back over this part of the time that
- * they are told: memory comes back evenly, and so should they.
+ * Share of the free memory that is usable, since requests don't fit exactly.
  */
-const RETRY_SPREAD = 0.33;
+const USABLE_FREE_SHARE = 0.8;
+/** How long a refused key is recognized as a retry. */
+const REFUSAL_TTL_MS = 12_000;
+/**
+ * Retry times of requests that are refused together are spread over this share
+ * of the delay, because memory is released evenly as well.
+ */
+const RETRY_JITTER = 0.33;
 
-/** The state of a pool when a request asks. */
+/** State of a pool when a request arrives. */
 export type PoolState = {
-  /** Tokens of the request and of those before it. */
+  /** Tokens of the request and of those ahead of it. */
   readonly tokens: number;
-  /** The request and those before it. */
+  /** Number of requests up to and including this one. */
   readonly requests: number;
-  /** Requests a second that the decode replicas take; Infinity: any number. */
+  /**
+   * Requests per second that the decode replicas accept; Infinity: no limit.
+   */
   readonly startRate: number;
-  /** Tokens given away at all decode replicas. */
-  readonly held: number;
+  /** Tokens reserved at all decode replicas. */
+  readonly reserved: number;
   /** Memory of all decode replicas, in tokens. */
   readonly memory: number;
-  /** Prompt tokens that the prefill replicas have to read before it. */
+  /** Prompt tokens that the prefill replicas have to process before it. */
   readonly promptTokens: number;
-  /** Prompt tokens that they read in a millisecond; 0 without any. */
-  readonly readingRate: number;
+  /** Prompt tokens that they process per millisecond; 0 without any replica. */
+  readonly prefillRate: number;
 };
 
-/** When a pool can begin with a request. */
+/** When a pool can start a request. */
 export type Forecast = {
-  /** If nothing that arrives later goes before it. */
+  /** Wait if no later request is scheduled before it. */
   readonly waitMs: Milliseconds;
-  /** If it is late, so that on-time newcomers do; may be Infinity. */
+  /** Wait if it is late and later requests overtake it; may be Infinity. */
   readonly lateWaitMs: Milliseconds;
 };
 
 /** A request that is refused. */
 export type RefusedRequest = {
-  /** Names its prompt; may be empty. */
+  /** Identifies the prompt; may be empty. */
   readonly key: string;
-  /** The forecast of its wait; may be Infinity. */
+  /** Forecast wait; may be Infinity. */
   readonly waitMs: Milliseconds;
-  /** Longest time to come back that its caller heeds. */
+  /** Longest retry delay that the caller accepts. */
   readonly longestRetryMs: Milliseconds;
 };
 
-/** Forecasts waits and remembers whom it refused. */
+/** Forecasts waits and remembers which requests were refused. */
 export class Admission {
   readonly #random: () => number;
-  readonly #refused = new Map<string, Milliseconds>();
-  /** Tokens that arrived within about a life of a place. */
-  readonly #tokens = new RecentSum();
-  readonly #prompts = new RecentSum();
-  readonly #requests = new RecentSum();
-  #lifeMs: Milliseconds = FIRST_LIFE_MS;
+  readonly #refusedUntil = new Map<string, Milliseconds>();
+  /** Tokens that arrived within about one assignment lifetime. */
+  readonly #offeredTokens = new DecayingSum();
+  readonly #offeredPromptTokens = new DecayingSum();
+  readonly #offeredRequests = new DecayingSum();
+  #meanLifetimeMs: Milliseconds = INITIAL_LIFETIME_MS;
 
   constructor(random: () => number) {
     this.#random = random;
   }
 
-  /** A request came; one that comes back counts again. */
+  /** Counts a request that arrived; a retry counts again. */
   noteArrival(
-    asked: { readonly tokens: number; readonly promptTokens: number },
+    request: { readonly tokens: number; readonly promptTokens: number },
     now: Milliseconds,
   ): void {
-    this.#tokens.add(asked.tokens, now, this.#lifeMs);
-    this.#prompts.add(asked.promptTokens, now, this.#lifeMs);
-    this.#requests.add(1, now, this.#lifeMs);
+    this.#offeredTokens.add(request.tokens, now, this.#meanLifetimeMs);
+    this.#offeredPromptTokens.add(
+      request.promptTokens,
+      now,
+      this.#meanLifetimeMs,
+    );
+    this.#offeredRequests.add(1, now, this.#meanLifetimeMs);
   }
 
-  /** A place has ended after `lifeMs`. */
-  noteEnd(lifeMs: Milliseconds): void {
-    this.#lifeMs = this.#lifeMs * LIFE_MEMORY + lifeMs * (1 - LIFE_MEMORY);
+  /** Records the lifetime of an assignment that has ended. */
+  noteEnd(lifetimeMs: Milliseconds): void {
+    this.#meanLifetimeMs = this.#meanLifetimeMs * LIFETIME_DECAY +
+      lifetimeMs * (1 - LIFETIME_DECAY);
   }
 
-  /** Whether the request was refused a while ago. */
-  cameBack(key: string, now: Milliseconds): boolean {
-    return now < (this.#refused.get(key) ?? 0);
+  /** Whether a request with this key was refused recently. */
+  wasRefused(key: string, now: Milliseconds): boolean {
+    return now < (this.#refusedUntil.get(key) ?? 0);
   }
 
-  /** When the pool can begin with the last of `tokens`. */
+  /** Forecasts when the pool can start the last of `tokens`. */
   forecast(pool: PoolState, now: Milliseconds): Forecast {
-    const { tokens, held, memory, promptTokens, readingRate } = pool;
+    const { tokens, reserved, memory, promptTokens, prefillRate } = pool;
     const { requests, startRate } = pool;
-    const missing = tokens - Math.max(0, memory - held) * FREE_USE;
-    // Memory comes back evenly: what is held, over the life of a place.
-    const memoryMs = Math.max(0, missing) * this.#lifeMs / Math.max(1, held);
-    const readingMs = readingRate > 0 ? promptTokens / readingRate : 0;
+    const missingTokens = tokens -
+      Math.max(0, memory - reserved) * USABLE_FREE_SHARE;
+    // Assumes that reserved memory is released evenly over the mean lifetime.
+    const memoryMs = Math.max(0, missingTokens) * this.#meanLifetimeMs /
+      Math.max(1, reserved);
+    const prefillMs = prefillRate > 0 ? promptTokens / prefillRate : 0;
     const startMs = Number.isFinite(startRate)
       ? (requests - 1) * 1000 / Math.max(LEAST_PER_SECOND, startRate)
       : 0;
-    // Load offered to the memory and to the prefill replicas; 1 is all of it.
-    const lifeMs = this.#lifeMs;
-    const memoryLoad = this.#tokens.at(now, lifeMs) / Math.max(1, memory);
-    const readingLoad = readingRate > 0
-      ? this.#prompts.at(now, lifeMs) / (readingRate * lifeMs)
+    // Load offered to the memory and to the prefill replicas; 1 is full
+    // capacity.
+    const lifetimeMs = this.#meanLifetimeMs;
+    const memoryLoad = this.#offeredTokens.at(now, lifetimeMs) /
+      Math.max(1, memory);
+    const prefillLoad = prefillRate > 0
+      ? this.#offeredPromptTokens.at(now, lifetimeMs) /
+        (prefillRate * lifetimeMs)
       : 0;
-    const startLoad = this.#requests.at(now, lifeMs) / (startRate * lifeMs) *
+    const startLoad = this.#offeredRequests.at(now, lifetimeMs) /
+      (startRate * lifetimeMs) *
       1000;
     return {
-      waitMs: Math.max(memoryMs, readingMs, startMs),
+      waitMs: Math.max(memoryMs, prefillMs, startMs),
       lateWaitMs: Math.max(
-        overtaken(memoryMs, memoryLoad),
-        overtaken(readingMs, readingLoad),
-        overtaken(startMs, startLoad),
+        waitWhenOvertaken(memoryMs, memoryLoad),
+        waitWhenOvertaken(prefillMs, prefillLoad),
+        waitWhenOvertaken(startMs, startLoad),
       ),
     };
   }
 
-  /** Remembers a refusal; gives the time after which to come back. */
+  /** Records a refusal; returns the delay after which to retry. */
   refuse(
     { key, waitMs, longestRetryMs }: RefusedRequest,
     now: Milliseconds,
   ): Milliseconds {
-    for (const [known, until] of this.#refused) {
-      if (until <= now) this.#refused.delete(known);
+    for (const [refusedKey, until] of this.#refusedUntil) {
+      if (until <= now) this.#refusedUntil.delete(refusedKey);
     }
-    if (key !== "") this.#refused.set(key, now + REMEMBER_MS);
-    const spread = 1 - this.#random() * RETRY_SPREAD;
-    return Math.min(longestRetryMs, waitMs) * spread;
+    if (key !== "") this.#refusedUntil.set(key, now + REFUSAL_TTL_MS);
+    const jitter = 1 - this.#random() * RETRY_JITTER;
+    return Math.min(longestRetryMs, waitMs) * jitter;
   }
 }
 
-/** A wait of a request that newcomers overtake, who offer a load. */
-function overtaken(waitMs: Milliseconds, load: number): Milliseconds {
+/**
+ * The wait of a request that is overtaken by later ones, which offer `load`.
+ */
+function waitWhenOvertaken(waitMs: Milliseconds, load: number): Milliseconds {
   if (waitMs === 0) return 0;
   return load < 1 ? waitMs / (1 - load) : Infinity;
 }
--- a/src/gateway/planning/ask_queue.ts
+++ b/src/gateway/planning/ask_queue.ts
@@ -1,58 +1,57 @@
-/** The requests that wait for a place at a planner. */
+/** Requests that wait for an assignment at a planner. */
 import type { Milliseconds } from "../../util/units.ts";
 import type { PlanAsk } from "./messages.ts";
-import { inOrder } from "./order.ts";
+import { schedulingOrder } from "./order.ts";
 
 /** A request that waits. */
-export type Waiting = {
-  /** The host that asks for it. */
-  readonly from: string;
-  readonly ask: PlanAsk;
-  readonly begun: boolean;
+export type QueuedRequest = {
+  /** The host that sent the request. */
+  readonly host: string;
+  readonly request: PlanAsk;
+  readonly mayHaveRun: boolean;
   readonly priority: number;
   /** When its first event is due. */
   readonly dueAt: Milliseconds;
-  readonly giveUpAt: Milliseconds;
-  /** It was refused a while ago and came back. */
-  readonly returned: boolean;
+  readonly abandonAt: Milliseconds;
+  /** Whether it was refused recently and has been retried. */
+  readonly isRetry: boolean;
   /** When its wait is forecast next. */
-  forecastAt: Milliseconds;
+  nextForecastAt: Milliseconds;
 };
 
-/** Requests by the id of their ask. */
-export class AskQueue {
-  readonly #waiting = new Map<string, Waiting>();
+/** Waiting requests by id. */
+export class RequestQueue {
+  readonly #requests = new Map<string, QueuedRequest>();
 
-  /** Requests that wait. */
+  /** Number of waiting requests. */
   get size(): number {
-    return this.#waiting.size;
+    return this.#requests.size;
   }
 
-  /** Enters an ask that came at `now`. */
+  /** Adds a request received at `now`. */
   add(
-    asked: Pick<Waiting, "from" | "ask" | "returned">,
+    queued: Pick<QueuedRequest, "host" | "request" | "isRetry">,
     now: Milliseconds,
   ): void {
-    const { ask } = asked;
-    this.#waiting.set(ask.id, {
-      ...asked,
-      begun: ask.begun,
-      priority: ask.priority,
-      dueAt: now + ask.slackMs,
-      giveUpAt: now + ask.patienceMs,
-      forecastAt: now,
+    const { request } = queued;
+    this.#requests.set(request.id, {
+      ...queued,
+      mayHaveRun: request.begun,
+      priority: request.priority,
+      dueAt: now + request.slackMs,
+      abandonAt: now + request.patienceMs,
+      nextForecastAt: now,
     });
   }
 
-  /** The request waits no longer. */
   remove(id: string): void {
-    this.#waiting.delete(id);
+    this.#requests.delete(id);
   }
 
-  /** Drops the requests of a host that can't be reached any more. */
-  removeHost(from: string): void {
-    for (const [id, one] of this.#waiting) {
-      if (one.from === from) this.#waiting.delete(id);
+  /** Drops the requests of a host whose link was lost. */
+  removeHost(host: string): void {
+    for (const [id, queued] of this.#requests) {
+      if (queued.host === host) this.#requests.delete(id);
     }
   }
 
@@ -62,9 +61,9 @@
    */
   inOrder(
     now: Milliseconds,
-    serviceMs: (ask: PlanAsk) => Milliseconds,
-  ): Waiting[] {
-    const all = [...this.#waiting.values()];
-    return inOrder(all, now, ({ ask }) => serviceMs(ask));
+    serviceMs: (request: PlanAsk) => Milliseconds,
+  ): QueuedRequest[] {
+    const all = [...this.#requests.values()];
+    return schedulingOrder(all, now, ({ request }) => serviceMs(request));
   }
 }
--- a/src/gateway/planning/engine_choice.ts
+++ b/src/gateway/planning/engine_choice.ts
@@ -1,164 +1,196 @@
-/** Which replicas of a model engine read and answer a request. */
+/** Selects the prefill and decode replicas of a model engine for a request. */
 import type { Milliseconds } from "../../util/units.ts";
 import type { ReplicaEntry } from "../replicas/model.ts";
 import type { Ledger } from "./ledger.ts";
 import type { PlanAsk } from "./messages.ts";
-import { least } from "./order.ts";
-import type { PromptMemory } from "./prompt_memory.ts";
+import { minBy } from "./order.ts";
+import type { PromptLocations } from "./prompt_memory.ts";
 import type { PlannerView } from "./view.ts";
 
 /**
- * Work that a prefill replica is given ahead, besides what its answers take
- * on their way (the base of its prefill times): enough to keep it busy over a
- * round trip, little enough that the order of the others stays open.
+ * Prefill work assigned in advance, in addition to the fixed part of a
+ * prefill's time: enough to keep a replica busy for a round trip while the
+ * order of the other requests can still change.
  */
-const AHEAD_MS = 60;
+const PREFILL_BACKLOG_MS = 60;
 
-/** Share of its memory up to which a decode replica reads prompts. */
-const WHOLE_BELOW = 0.6;
-/** A request with less time left than this need not wait for a prefill. */
-const WHOLE_SLACK_MS = 700;
+/** Share of its memory below which a decode replica does local prefills. */
+const LOCAL_PREFILL_MAX_UTILIZATION = 0.6;
+/**
+ * A request with less time left than this need not wait for a prefill replica.
+ */
+const LOCAL_PREFILL_SLACK_MS = 700;
 
 /**
- * Decode replicas below this share of their memory in use are taken to be as
- * good as each other, so the hall decides: an answer that stays in its hall isn't
- * lost when halls are cut off from each other, and its cache moves at twice the
- * rate.
+ * Decode replicas whose memory use is below this share count as equal, so the
+ * hall decides: a response that stays in its hall survives a partition between
+ * halls, and its KV cache moves at twice the rate.
  */
-const ROOMY_SHARE = 0.5;
-/** Breaks ties by load; small compared with the charge for another hall. */
-const TIE_WEIGHT = 0.02;
+const LOW_UTILIZATION = 0.5;
+/** Breaks ties by load; small compared with the remote hall penalty. */
+const TIE_BREAK_WEIGHT = 0.02;
 /**
- * What a prefill in another hall than its decode counts as: a KV cache takes
- * twice as long to move there, and is lost when the halls are cut off.
+ * Cost of a prefill in another hall than its decode replica: the KV cache takes
+ * twice as long to move, and is lost when the halls are partitioned.
  */
-const FAR_PREFILL_MS = 60;
+const REMOTE_PREFILL_PENALTY_MS = 60;
 
-/** Where a request is answered, and where its prompt is read. */
-export type EnginePlaces = {
+/**
+ * The decode replica of a request, and the replica that prefills its prompt.
+ */
+export type EngineAssignment = {
   readonly decode: ReplicaEntry;
-  /** Absent: the decode replica reads the prompt. */
+  /** Absent: the decode replica does a local prefill. */
   readonly prefill?: ReplicaEntry;
 };
 
-/** What may be chosen for one request. */
+/** Candidates for one request. */
 export type EngineCandidates = {
   readonly decodes: readonly ReplicaEntry[];
-  /** Sound ones only, whose limits have room; may be empty. */
+  /** Only healthy replicas whose limits have room; may be empty. */
   readonly prefills: readonly ReplicaEntry[];
-  /** Others read prompts again when their limits have room. */
-  readonly mayReadLater: boolean;
-  /** False: no decode replica has room, so none is looked for. */
+  /**
+   * Whether other prefill replicas will be available when their limits have
+   * room.
+   */
+  readonly mayPrefillLater: boolean;
+  /** False: no decode replica has room, so the selection is skipped. */
   readonly mayFit: boolean;
   /** Time until the first event is due. */
   readonly slackMs: Milliseconds;
 };
 
-/** What a choice goes by. */
-export type EngineChoiceSource = {
+/** Options of {@link EngineChoice}. */
+export type EngineChoiceOptions = {
   readonly view: PlannerView;
   readonly ledger: Ledger;
-  readonly prompts: PromptMemory;
-  /** The replica had no memory a moment ago, or its limit has no room. */
+  readonly promptLocations: PromptLocations;
+  /** The replica had no memory recently, or its limit has no room. */
   isFull(incarnation: string, now: Milliseconds): boolean;
 };
 
-/** Chooses by what the ledger says is given away. */
+/** Selects replicas by the reservations in the planner's ledger. */
 export class EngineChoice {
   readonly #view: PlannerView;
   readonly #ledger: Ledger;
-  readonly #prompts: PromptMemory;
-  readonly #isFull: EngineChoiceSource["isFull"];
+  readonly #promptLocations: PromptLocations;
+  readonly #isFull: EngineChoiceOptions["isFull"];
 
-  constructor({ view, ledger, prompts, isFull }: EngineChoiceSource) {
+  constructor(
+    { view, ledger, promptLocations, isFull }: EngineChoiceOptions,
+  ) {
     this.#view = view;
     this.#ledger = ledger;
-    this.#prompts = prompts;
+    this.#promptLocations = promptLocations;
     this.#isFull = isFull;
   }
 
-  /** The replicas for a request; undefined: it has to wait. */
-  placesFor(
-    ask: PlanAsk,
-    { decodes, prefills, mayReadLater, mayFit, slackMs }: EngineCandidates,
+  /** Selects replicas for a request; undefined: it has to wait. */
+  assignmentFor(
+    request: PlanAsk,
+    { decodes, prefills, mayPrefillLater, mayFit, slackMs }: EngineCandidates,
     now: Milliseconds,
-  ): EnginePlaces | undefined {
-    const keeper = this.#keeperOf(ask, decodes, now);
-    if (keeper) return { decode: keeper };
-    const decode = mayFit ? this.decodeFor(ask, decodes, now) : undefined;
+  ): EngineAssignment | undefined {
+    const cached = this.#cachedDecodeFor(request, decodes, now);
+    if (cached) return { decode: cached };
+    const decode = mayFit ? this.decodeFor(request, decodes, now) : undefined;
     if (!decode) return undefined;
-    if (ask.whole) return { decode };
+    if (request.whole) return { decode };
     if (prefills.length === 0) {
-      const isWhole = !mayReadLater || this.readsWhole(ask, decode, slackMs);
-      return isWhole ? { decode } : undefined;
+      const isLocal = !mayPrefillLater ||
+        this.prefillsLocally(request, decode, slackMs);
+      return isLocal ? { decode } : undefined;
     }
-    const readBy = this.#prompts.prefillOf(ask.key, now);
-    const reader = prefills.find((r) => r.incarnation === readBy);
-    if (reader) return { decode, prefill: reader };
+    const prefilledBy = this.#promptLocations.prefillOf(request.key, now);
+    const prefillReplica = prefills.find((replica) =>
+      replica.incarnation === prefilledBy
+    );
+    if (prefillReplica) return { decode, prefill: prefillReplica };
     const prefill = this.prefillFor(prefills, decode);
-    if (!this.#isBehind(prefill)) return { decode, prefill };
-    return this.readsWhole(ask, decode, slackMs) ? { decode } : undefined;
+    if (!this.#hasBacklog(prefill)) return { decode, prefill };
+    return this.prefillsLocally(request, decode, slackMs)
+      ? { decode }
+      : undefined;
   }
 
-  /** The decode replica that keeps the request's prompt and has room for it. */
-  #keeperOf(
-    ask: PlanAsk,
+  /**
+   * The decode replica that has the prompt cached and has room for the request.
+   */
+  #cachedDecodeFor(
+    request: PlanAsk,
     decodes: readonly ReplicaEntry[],
     now: Milliseconds,
   ): ReplicaEntry | undefined {
-    const kept = this.#prompts.decodeOf(ask.key, now);
-    const keeper = decodes.find(({ incarnation }) => incarnation === kept);
-    if (!keeper || this.#view.isPaused(keeper.incarnation)) return undefined;
-    return this.decodeFor(ask, [keeper], now);
+    const cachedAt = this.#promptLocations.decodeOf(request.key, now);
+    const cached = decodes.find(({ incarnation }) => incarnation === cachedAt);
+    if (!cached || this.#view.isPaused(cached.incarnation)) return undefined;
+    return this.decodeFor(request, [cached], now);
   }
 
-  /** The prefill replica has more before it than keeps it busy. */
-  #isBehind({ incarnation }: ReplicaEntry): boolean {
-    const base = Math.max(0, this.#ledger.lineOf(incarnation).base);
-    return this.#ledger.queueMs(incarnation) - base > AHEAD_MS;
+  /**
+   * Whether the replica has more pending prefills than needed to keep it busy.
+   */
+  #hasBacklog({ incarnation }: ReplicaEntry): boolean {
+    const base = Math.max(0, this.#ledger.prefillLineOf(incarnation).base);
+    return this.#ledger.backlogMs(incarnation) - base >
+      PREFILL_BACKLOG_MS;
   }
 
-  /** Of `decodes` the one with most memory left, rather in the asker's hall. */
+  /**
+   * The decode replica with the most free memory, preferably in the requester's
+   * hall.
+   */
   decodeFor(
-    ask: PlanAsk,
+    request: PlanAsk,
     decodes: readonly ReplicaEntry[],
     now: Milliseconds,
   ): ReplicaEntry | undefined {
-    const memory = Math.max(1, this.#view.memoryOf(ask.service));
-    return least(decodes, (replica) => {
+    const memory = Math.max(1, this.#view.memoryOf(request.service));
+    return minBy(decodes, (replica) => {
       const { incarnation, hall } = replica;
-      const held = this.#ledger.memoryAt(incarnation);
-      const full = this.#isFull(incarnation, now);
-      if (full || (held > 0 && held + ask.tokens > memory)) return Infinity;
-      const far = hall === ask.hall ? 0 : this.#view.farCharge;
-      const taken = held / memory;
-      return Math.max(ROOMY_SHARE, taken) + far + taken * TIE_WEIGHT;
+      const reserved = this.#ledger.reservedTokensAt(incarnation);
+      const isFull = this.#isFull(incarnation, now);
+      if (isFull || (reserved > 0 && reserved + request.tokens > memory)) {
+        return Infinity;
+      }
+      const penalty = hall === request.hall ? 0 : this.#view.farCharge;
+      const utilization = reserved / memory;
+      return Math.max(LOW_UTILIZATION, utilization) + penalty +
+        utilization * TIE_BREAK_WEIGHT;
     });
   }
 
   /**
-   * Whether the decode replica reads the prompt itself: only when the prefill
-   * replicas are behind and it runs few others, for it slows them.
+   * Whether the decode replica does the prefill locally: only when the prefill
+   * replicas have a backlog and it has few other requests, because a prefill
+   * slows those down.
    */
-  readsWhole(
-    ask: PlanAsk,
+  prefillsLocally(
+    request: PlanAsk,
     decode: ReplicaEntry,
     slackMs: Milliseconds,
   ): boolean {
-    const memory = Math.max(1, this.#view.memoryOf(ask.service));
-    const held = this.#ledger.memoryAt(decode.incarnation) / memory;
-    return held < WHOLE_BELOW && slackMs < WHOLE_SLACK_MS;
+    const memory = Math.max(1, this.#view.memoryOf(request.service));
+    const utilization = this.#ledger.reservedTokensAt(decode.incarnation) /
+      memory;
+    return utilization < LOCAL_PREFILL_MAX_UTILIZATION &&
+      slackMs < LOCAL_PREFILL_SLACK_MS;
   }
 
-  /** The prefill replica that is free first, rather in the decode's hall. */
+  /**
+   * The prefill replica that is free first, preferably in the decode replica's
+   * hall.
+   */
   prefillFor(
     prefills: readonly ReplicaEntry[],
     decode: ReplicaEntry,
   ): ReplicaEntry {
     const cost = (replica: ReplicaEntry) => {
-      const far = replica.hall === decode.hall ? 0 : FAR_PREFILL_MS;
-      return this.#ledger.queueMs(replica.incarnation) + far;
+      const penalty = replica.hall === decode.hall
+        ? 0
+        : REMOTE_PREFILL_PENALTY_MS;
+      return this.#ledger.backlogMs(replica.incarnation) + penalty;
     };
-    return least(prefills, cost) ?? decode;
+    return minBy(prefills, cost) ?? decode;
   }
 }
--- a/src/gateway/planning/forecasts.ts
+++ b/src/gateway/planning/forecasts.ts
@@ -1,23 +1,23 @@
-/** Forecasts of waits at the pools of all services, and who was refused. */
+/** Forecasts the waits at the pools of all services, and tracks refusals. */
 import type { Milliseconds } from "../../util/units.ts";
 import { Admission } from "./admission.ts";
-import type { Waiting } from "./ask_queue.ts";
+import type { QueuedRequest } from "./ask_queue.ts";
 import type { PlanAsk } from "./messages.ts";
 import type { PoolSnapshot } from "./pool_snapshot.ts";
 
 /**
- * A wait is forecast anew after this time, for replicas come and go: often
- * enough that what can't be served is known within an eighth of the time that
+ * How often a wait is forecast again, because replicas come and go: a request
+ * that can no longer be served is refused within an eighth of the time that
  * callers wait for a first event (2 s at least).
  */
-const FORECAST_MS = 250;
+const FORECAST_INTERVAL_MS = 250;
 /**
  * Time from the end of a prefill to the caller's first event, with a margin:
- * under load every request is served near the last moment that it can be.
+ * under load every request is served close to its deadline.
  */
 const FIRST_EVENT_MS = 150;
 
-/** Time from a grant to the caller's first event, if the replicas are idle. */
+/** Time from a grant to the caller's first event if the replicas are idle. */
 export function firstEventMs(
   pool: Pick<PoolSnapshot, "prefillMs">,
   { promptTokens }: Pick<PlanAsk, "promptTokens">,
@@ -34,47 +34,50 @@
     this.#random = random;
   }
 
-  /** A request asks; gives whether it was refused a while ago. */
-  noteAsk(ask: PlanAsk, now: Milliseconds): boolean {
-    const admission = this.#admissionOf(ask.service);
-    admission.noteArrival(ask, now);
-    return admission.cameBack(ask.key, now);
+  /** Counts a request; returns whether it was refused recently. */
+  noteRequest(request: PlanAsk, now: Milliseconds): boolean {
+    const admission = this.#admissionOf(request.service);
+    admission.noteArrival(request, now);
+    return admission.wasRefused(request.key, now);
   }
 
-  /** A place of the service has ended after `lifeMs`. */
-  noteEnd(service: string, lifeMs: Milliseconds): void {
-    this.#admissionOf(service).noteEnd(lifeMs);
+  /** Records the lifetime of an assignment of the service that has ended. */
+  noteEnd(service: string, lifetimeMs: Milliseconds): void {
+    this.#admissionOf(service).noteEnd(lifetimeMs);
   }
 
   /**
-   * When a request is to come back that can't begin before its caller gives up;
-   * undefined: it can, or it isn't known by now.
+   * The retry delay of a request that can't start before its caller times out;
+   * undefined: it can, or no forecast is due yet.
    */
-  comeBackMs(
-    one: Waiting,
+  retryAfterMs(
+    queued: QueuedRequest,
     pool: PoolSnapshot,
     now: Milliseconds,
   ): Milliseconds | undefined {
-    if (one.begun || one.returned || now < one.forecastAt) return undefined;
-    one.forecastAt = now + FORECAST_MS;
-    const { service, tokens, key, longestRetryMs } = one.ask;
+    if (queued.mayHaveRun || queued.isRetry || now < queued.nextForecastAt) {
+      return undefined;
+    }
+    queued.nextForecastAt = now + FORECAST_INTERVAL_MS;
+    const { service, tokens, key, longestRetryMs } = queued.request;
     const admission = this.#admissionOf(service);
     const { waitMs, lateWaitMs } = admission.forecast({
       tokens: tokens + pool.ahead.tokens,
-      held: pool.held,
-      memory: pool.awaitedMemory,
+      reserved: pool.forecastReserved,
+      memory: pool.forecastMemory,
       requests: 1 + pool.ahead.requests,
       startRate: pool.startRate,
-      promptTokens: pool.promptsBefore,
-      readingRate: pool.readingRate,
+      promptTokens: pool.pendingPromptTokens,
+      prefillRate: pool.prefillRate,
     }, now);
-    const isOnTime = now + waitMs + firstEventMs(pool, one.ask) <= one.dueAt;
-    const wait = isOnTime ? waitMs : lateWaitMs;
-    if (now + wait <= one.giveUpAt) return undefined;
-    return admission.refuse({ key, waitMs: wait, longestRetryMs }, now);
+    const isOnTime =
+      now + waitMs + firstEventMs(pool, queued.request) <= queued.dueAt;
+    const expectedMs = isOnTime ? waitMs : lateWaitMs;
+    if (now + expectedMs <= queued.abandonAt) return undefined;
+    return admission.refuse({ key, waitMs: expectedMs, longestRetryMs }, now);
   }
 
-  /** Each service has lives of its own. */
+  /** Each service has its own lifetimes. */
   #admissionOf(service: string): Admission {
     const known = this.#admissions.get(service);
     if (known) return known;
--- a/src/gateway/planning/limit_pace.ts
+++ b/src/gateway/planning/limit_pace.ts
@@ -1,7 +1,7 @@
 /**
- * When replicas that limit their requests are given the next one. A planner's
- * pace only guides: the owner of the limit counts for all hosts, and what it
- * refuses sets the pace here.
+ * Paces the requests given to replicas that have a rate limit. The pace of a
+ * planner is advisory: the owner of the limit counts the requests of all hosts,
+ * and its refusals hold back the replica here.
  */
 import type { Milliseconds } from "../../util/units.ts";
 import { forgetOldest } from "../../util/forget_oldest.ts";
@@ -10,35 +10,41 @@
 import { LEAST_PER_SECOND } from "../limits/allowance.ts";
 
 /**
- * A limited replica is given requests at up to this multiple of its rate, so
- * that what a quiet second left unused is caught up with; the limit's owner
- * holds the rate itself. Without a pace all requests that wait for a replica
- * would go for the one that its owner lets through, the urgent no sooner.
+ * A limited replica is given requests at up to this multiple of its rate, to
+ * use up what an idle period left; the limit's owner enforces the rate itself.
+ * Without pacing, all waiting requests would be sent to the replica whose owner
+ * grants permits, regardless of priority.
  */
-const CATCH_UP = 2;
-/** Requests that may go at once: an owner lets two through in a second at 1.4. */
-const AT_ONCE = 2;
+const CATCH_UP_FACTOR = 2;
 /**
- * A host may hear of a limit before the planner does. Its refusal holds for so
- * long then, or the planner would name the replica again at once.
+ * Requests that may be given at once: at a rate of 1.4, an owner lets two
+ * through within a second.
  */
-const UNHEARD_MS = 500;
-/** Replicas whose pace is kept. */
-const MOST_REPLICAS = 3000;
+const BURST = 2;
+/**
+ * How long a refusal applies when the host learned of the limit before the
+ * planner did; the planner would otherwise choose the replica again at once.
+ */
+const UNKNOWN_LIMIT_BACKOFF_MS = 500;
+/** Maximum number of replicas with a recorded state. */
+const MAX_REPLICAS = 3000;
 
-type Pace = {
-  /** When all that was given has been taken, at the pace. */
-  takenAt: Milliseconds;
-  /** Its limit has no room until then. */
+type PacerState = {
+  /**
+   * Theoretical arrival time of the next request, as in the generic cell rate
+   * algorithm (GCRA).
+   */
+  theoreticalArrivalAt: Milliseconds;
+  /** The limit has no room until then. */
   fullUntil: Milliseconds;
   /** When a host was last refused. */
   refusedAt: Milliseconds;
 };
 
-/** The pace of limited replicas, by incarnation. */
-export class LimitPace {
+/** Paces requests to limited replicas, by incarnation. */
+export class RequestPacer {
   readonly #limitOf: (incarnation: string) => number | undefined;
-  readonly #paces = new Map<string, Pace>();
+  readonly #states = new Map<string, PacerState>();
 
   constructor(limitOf: (incarnation: string) => number | undefined) {
     this.#limitOf = limitOf;
@@ -47,15 +53,21 @@
   /** Time until the replica may be given a request; 0: now. */
   waitMs(incarnation: string, now: Milliseconds): Milliseconds {
     const perSecond = this.#limitOf(incarnation);
-    const pace = this.#paces.get(incarnation);
-    if (!pace) return 0;
+    const state = this.#states.get(incarnation);
+    if (!state) return 0;
     if (perSecond === undefined) {
-      const until = Math.min(pace.fullUntil, pace.refusedAt + UNHEARD_MS);
+      const until = Math.min(
+        state.fullUntil,
+        state.refusedAt + UNKNOWN_LIMIT_BACKOFF_MS,
+      );
       return Math.max(0, until - now);
     }
-    const aheadMs = (AT_ONCE - 1) * intervalMs(perSecond);
-    const at = Math.max(pace.takenAt - aheadMs, pace.fullUntil);
-    return Math.max(0, at - now);
+    const burstMs = (BURST - 1) * intervalMs(perSecond);
+    const allowedAt = Math.max(
+      state.theoreticalArrivalAt - burstMs,
+      state.fullUntil,
+    );
+    return Math.max(0, allowedAt - now);
   }
 
   /** Whether the replica may be given a request now. */
@@ -64,48 +76,52 @@
   }
 
   /** Time until one of the replicas may be given a request; 0: now. */
-  soonestMs(
+  minWaitMs(
     replicas: readonly ReplicaEntry[],
     now: Milliseconds,
   ): Milliseconds {
-    let soonest = Infinity;
+    let minWait = Infinity;
     for (const { incarnation } of replicas) {
-      soonest = Math.min(soonest, this.waitMs(incarnation, now));
-      if (soonest === 0) return 0;
+      minWait = Math.min(minWait, this.waitMs(incarnation, now));
+      if (minWait === 0) return 0;
     }
-    return soonest;
+    return minWait;
   }
 
-  /** The replica is given a request. */
+  /** Records that the replica is given a request. */
   noteGrant(incarnation: string, now: Milliseconds): void {
     const perSecond = this.#limitOf(incarnation);
     if (perSecond === undefined) return;
-    const pace = this.#paceOf(incarnation);
-    pace.takenAt = Math.max(pace.takenAt, now) + intervalMs(perSecond);
+    const state = this.#stateOf(incarnation);
+    state.theoreticalArrivalAt = Math.max(state.theoreticalArrivalAt, now) +
+      intervalMs(perSecond);
   }
 
-  /** A host was refused; where that was for the limit it says for how long. */
-  noteRefusal(
+  /**
+   * Records a refusal of a host; if a limit was the reason, `retryAfterMs` is the
+   * time until it has room.
+   */
+  noteFull(
     incarnation: string,
     { retryAfterMs }: Pick<PlanProgress, "retryAfterMs">,
     now: Milliseconds,
   ): void {
     if (retryAfterMs === undefined) return;
-    const pace = this.#paceOf(incarnation);
-    pace.refusedAt = now;
-    pace.fullUntil = Math.max(pace.fullUntil, now + retryAfterMs);
+    const state = this.#stateOf(incarnation);
+    state.refusedAt = now;
+    state.fullUntil = Math.max(state.fullUntil, now + retryAfterMs);
   }
 
-  #paceOf(incarnation: string): Pace {
-    const known = this.#paces.get(incarnation);
+  #stateOf(incarnation: string): PacerState {
+    const known = this.#states.get(incarnation);
     if (known) return known;
-    const pace = { takenAt: 0, fullUntil: 0, refusedAt: 0 };
-    this.#paces.set(incarnation, pace);
-    forgetOldest(this.#paces, MOST_REPLICAS);
-    return pace;
+    const state = { theoreticalArrivalAt: 0, fullUntil: 0, refusedAt: 0 };
+    this.#states.set(incarnation, state);
+    forgetOldest(this.#states, MAX_REPLICAS);
+    return state;
   }
 }
 
 function intervalMs(perSecond: number): Milliseconds {
-  return 1000 / (CATCH_UP * Math.max(LEAST_PER_SECOND, perSecond));
+  return 1000 / (CATCH_UP_FACTOR * Math.max(LEAST_PER_SECOND, perSecond));
 }
--- a/src/gateway/planning/messages.ts
+++ b/src/gateway/planning/messages.ts
@@ -1,33 +1,36 @@
-/** What hosts and a planner tell each other, as lines of JSON. */
+/** Messages between hosts and a planner, as lines of JSON. */
 import * as z from "zod";
 
-/** How far a placed request is. */
-export const PlaceStage = {
-  /** Its prompt has been read. */
+/** Progress of an assigned request. */
+export const AssignmentStage = {
+  /** Its prefill is done. */
   prefilled: "prefilled",
-  /** Its prompt could not be read where that was planned. */
+  /** Its prefill failed at the assigned replica. */
   prefillFailed: "prefill-failed",
-  /** The prefill was done, but the decode replica could not have it. */
+  /**
+   * The prefill was done, but the decode replica could not fetch the export.
+   */
   exportLost: "export-lost",
   /** The limit of the prefill replica had no room for it. */
   prefillLimited: "prefill-limited",
-  /** The decode replica had no memory for it, or its limit no room. */
+  /** The decode replica had no memory for it, or its limit had no room. */
   refused: "refused",
-  /** The decode replica did not take it for another reason. */
+  /** The decode replica did not accept it for another reason. */
   failed: "failed",
-  /** Its whole answer came; it holds nothing any more. */
+  /** Its complete response was received; the assignment is released. */
   answered: "answered",
-  /** It holds nothing any more, and says nothing of its replica. */
+  /** The assignment is released; nothing is known about its replica. */
   ended: "ended",
 } as const;
-/** One of the values of {@link PlaceStage}. */
-export type PlaceStage = typeof PlaceStage[keyof typeof PlaceStage];
+/** One of the values of {@link AssignmentStage}. */
+export type AssignmentStage =
+  typeof AssignmentStage[keyof typeof AssignmentStage];
 
-const Ask = z.object({
+const PlanRequestSchema = z.object({
   type: z.literal("ask"),
   id: z.string(),
   service: z.string(),
-  /** Memory that it takes at a decode replica. */
+  /** Memory that it needs at a decode replica. */
   tokens: z.number(),
   promptTokens: z.number(),
   hall: z.string(),
@@ -36,95 +39,95 @@
   /** Time until its first event is due; negative when it is late. */
   slackMs: z.number(),
   patienceMs: z.number(),
-  /** Names the prompt, to know a request that comes back; may be empty. */
+  /** Identifies the prompt, to recognize a retry; may be empty. */
   key: z.string(),
-  /** Longest time to come back that its caller heeds. */
+  /** Longest retry delay that its caller accepts. */
   longestRetryMs: z.number(),
   /**
-   * An earlier send of the request may have run, or its caller already has a
-   * part of the answer: it goes before new requests and is never refused early.
+   * An earlier attempt may have run, or the caller has received a part of the
+   * response: the request is scheduled before new ones and never refused early.
    */
   begun: z.boolean(),
-  /** The decode replica is to read the prompt itself. */
+  /** The decode replica has to do a local prefill. */
   whole: z.boolean(),
   excluded: z.array(z.string()),
 });
 
-const Keep = z.object({
+const PlanHandoverSchema = z.object({
   type: z.literal("keep"),
   id: z.string(),
   decode: z.string(),
   tokens: z.number(),
 });
 
-const Progress = z.object({
+const PlanProgressSchema = z.object({
   type: z.literal("progress"),
   id: z.string(),
-  stage: z.enum(PlaceStage),
-  /** How long its prefill took, with stage "prefilled". */
+  stage: z.enum(AssignmentStage),
+  /** Duration of its prefill, with stage "prefilled". */
   spentMs: z.number().exactOptional(),
-  /** When a limit that had no room has some. */
+  /** Time until a limit that had no room has some. */
   retryAfterMs: z.number().exactOptional(),
 });
 
-const Grant = z.object({
+const PlanGrantSchema = z.object({
   type: z.literal("grant"),
   id: z.string(),
   decode: z.string(),
-  /** Absent: the decode replica reads the prompt. */
+  /** Absent: the decode replica does a local prefill. */
   prefill: z.string().exactOptional(),
 });
 
-/** What a refusal was decided on. */
-const Basis = z.object({
-  /** Decode replicas that take new work. */
+/** State of the pool on which a refusal was decided. */
+const RefusalBasisSchema = z.object({
+  /** Decode replicas that accept new work. */
   decodes: z.number(),
-  /** Share of their memory that is given away. */
+  /** Share of their memory that is reserved. */
   held: z.number(),
-  /** Asks that wait at the planner. */
+  /** Requests that wait at the planner. */
   waiting: z.number(),
-  /** All replicas limit their requests, and those have no room. */
+  /** All replicas limit their requests, and no limit has room. */
   isLimited: z.literal(true).exactOptional(),
 });
-/** What a refusal was decided on. */
-export type RefusalBasis = z.output<typeof Basis>;
+/** State of the pool on which a refusal was decided. */
+export type RefusalBasis = z.output<typeof RefusalBasisSchema>;
 
-const Refusal = z.object({
+const PlanRefusalSchema = z.object({
   type: z.literal("refusal"),
   id: z.string(),
   reason: z.enum(["no-replica", "no-memory", "busy"]),
-  /** When to come back, with reason "busy". */
+  /** Time after which to retry, with reason "busy". */
   retryAfterMs: z.number().exactOptional(),
-  basis: Basis,
+  basis: RefusalBasisSchema,
 });
 
-const Ping = z.object({ type: z.literal("ping") });
+const PingSchema = z.object({ type: z.literal("ping") });
 
 /** From a host to its planner. */
 export const HostMessageSchema = z.discriminatedUnion("type", [
-  Ask,
-  Keep,
-  Progress,
-  Ping,
+  PlanRequestSchema,
+  PlanHandoverSchema,
+  PlanProgressSchema,
+  PingSchema,
 ]);
 /** From a host to its planner. */
 export type HostMessage = z.output<typeof HostMessageSchema>;
-/** Asks for a place. */
-export type PlanAsk = z.output<typeof Ask>;
-/** Names a place that an earlier planner gave. */
-export type PlanKeep = z.output<typeof Keep>;
-/** Tells how far a placed request is. */
-export type PlanProgress = z.output<typeof Progress>;
+/** Requests an assignment. */
+export type PlanAsk = z.output<typeof PlanRequestSchema>;
+/** Hands over an assignment that an earlier planner granted. */
+export type PlanHandover = z.output<typeof PlanHandoverSchema>;
+/** Reports the progress of an assigned request. */
+export type PlanProgress = z.output<typeof PlanProgressSchema>;
 
 /** From a planner to a host. */
 export const PlannerMessageSchema = z.discriminatedUnion("type", [
-  Grant,
-  Refusal,
-  Ping,
+  PlanGrantSchema,
+  PlanRefusalSchema,
+  PingSchema,
 ]);
 /** From a planner to a host. */
 export type PlannerMessage = z.output<typeof PlannerMessageSchema>;
-/** A place is given. */
-export type PlanGrant = z.output<typeof Grant>;
-/** There is no place. */
-export type PlanRefusal = z.output<typeof Refusal>;
+/** Grants an assignment. */
+export type PlanGrant = z.output<typeof PlanGrantSchema>;
+/** Refuses an assignment. */
+export type PlanRefusal = z.output<typeof PlanRefusalSchema>;
--- a/src/gateway/planning/order.ts
+++ b/src/gateway/planning/order.ts
@@ -1,62 +1,62 @@
-/** The order of a planner's queue, and the choice of a minimum. */
+/** The scheduling order of a planner's queue, and the choice of a minimum. */
 import type { Milliseconds } from "../../util/units.ts";
 
-/** What the order of a queue is made from. */
-export type Queued = {
+/** The fields by which queued requests are ordered. */
+export type SchedulingKey = {
   /** When the first event is due. */
   readonly dueAt: Milliseconds;
-  /** An earlier send may have run. */
-  readonly begun: boolean;
+  /** An earlier attempt may have run. */
+  readonly mayHaveRun: boolean;
   /** Rank of its route; 0 is the most urgent. */
   readonly priority: number;
-  /** It was refused a while ago and came back. */
-  readonly returned: boolean;
+  /** It was refused recently and has been retried. */
+  readonly isRetry: boolean;
 };
 
 /**
- * Sorts waiting requests into the order in which they are scheduled:
+ * Sorts waiting requests into scheduling order:
  *
- * 1. Requests that may have run already, since their callers have a part of the
- *    answer or a prompt was read for them.
+ * 1. Requests that may have run already: the caller has received a part of the
+ *    response, or the prompt was prefilled.
  * 2. By priority.
- * 3. Within a priority, requests that were refused and came back: they are few,
- *    and their callers don't retry again.
+ * 3. Within a priority, retries of refused requests: they are few, and their
+ *    callers don't retry again.
  * 4. Requests that can still meet their deadline; those that can no longer meet
  *    it are scheduled last.
  * 5. By deadline.
  */
-export function inOrder<One extends Queued>(
-  waits: readonly One[],
+export function schedulingOrder<Request extends SchedulingKey>(
+  requests: readonly Request[],
   now: Milliseconds,
-  serviceMs: (one: One) => Milliseconds,
-): One[] {
-  const keyed = waits.map((one) => ({
-    one,
-    rank: one.begun ? -1 : one.priority,
-    isNew: !one.begun && !one.returned,
-    isLate: !one.begun && now + serviceMs(one) > one.dueAt,
+  serviceMs: (request: Request) => Milliseconds,
+): Request[] {
+  const keyed = requests.map((request) => ({
+    request,
+    rank: request.mayHaveRun ? -1 : request.priority,
+    isNew: !request.mayHaveRun && !request.isRetry,
+    isLate: !request.mayHaveRun && now + serviceMs(request) > request.dueAt,
   }));
   keyed.sort((a, b) =>
     a.rank - b.rank ||
     Number(a.isNew) - Number(b.isNew) ||
     Number(a.isLate) - Number(b.isLate) ||
-    a.one.dueAt - b.one.dueAt
+    a.request.dueAt - b.request.dueAt
   );
-  return keyed.map(({ one }) => one);
+  return keyed.map(({ request }) => request);
 }
 
 /** The element with the least value; undefined if all are infinite. */
-export function least<One>(
-  all: readonly One[],
-  value: (one: One) => number,
-): One | undefined {
-  let best: One | undefined;
+export function minBy<Element>(
+  elements: readonly Element[],
+  value: (element: Element) => number,
+): Element | undefined {
+  let best: Element | undefined;
   let bestValue = Infinity;
-  for (const one of all) {
-    const its = value(one);
-    if (its >= bestValue) continue;
-    best = one;
-    bestValue = its;
+  for (const element of elements) {
+    const elementValue = value(element);
+    if (elementValue >= bestValue) continue;
+    best = element;
+    bestValue = elementValue;
   }
   return best;
 }
--- a/src/gateway/planning/places.ts
+++ b/src/gateway/planning/places.ts
@@ -1,7 +1,7 @@
 /**
- * Asks the planner of a service for places. The planner is the first host in
- * the service's rendezvous order to which a link stands; a host that reaches
- * no other plans for itself.
+ * Requests assignments from the planner of a service. The planner is the first
+ * host in the service's rendezvous order to which a link is open; a host that
+ * reaches no other plans for itself.
  */
 import type { Milliseconds } from "../../util/units.ts";
 import { readJson } from "../../util/read_json.ts";
@@ -10,8 +10,8 @@
 import { HostOrders } from "../peers/host_order.ts";
 import { type Link, LinkPath, openLink } from "../peers/link.ts";
 import {
+  AssignmentStage,
   type HostMessage,
-  PlaceStage,
   type PlannerMessage,
   PlannerMessageSchema,
   type PlanProgress,
@@ -20,10 +20,10 @@
 } from "./messages.ts";
 import type { PlanService } from "./plan_service.ts";
 
-/** A host whose link broke is not tried again for this time. */
-const SUSPECT_MS = 800;
+/** How long after its link closed a host is not connected to again. */
+const LINK_RETRY_DELAY_MS = 800;
 
-/** A request that wants a place. */
+/** Parameters of an assignment request. */
 export type PlacementRequest = {
   readonly id: string;
   readonly service: string;
@@ -33,80 +33,80 @@
   readonly priority: number;
   readonly dueAt: Milliseconds;
   readonly giveUpAt: Milliseconds;
-  /** Names the prompt, to know a request that comes back. */
+  /** Identifies the prompt, to recognize a retry. */
   readonly key: string;
-  /** Longest time to come back that its caller heeds. */
+  /** Longest retry delay that its caller accepts. */
   readonly longestRetryMs: Milliseconds;
-  /** An earlier send may have run: the request goes before new ones. */
+  /** An earlier attempt may have run: the request goes before new ones. */
   readonly begun: boolean;
-  /** The decode replica is to read the prompt itself. */
+  /** The decode replica has to do a local prefill. */
   readonly whole: boolean;
   readonly excluded: ReadonlySet<string>;
 };
 
-/** A place, by the replicas' incarnations. */
+/** The assigned replicas, by incarnation. */
 export type Place = { readonly decode: string; readonly prefill?: string };
 
-/** Why there is no place. */
+/** Why there is no assignment. */
 export type NoPlace = {
   readonly reason: "no-replica" | "no-memory" | "busy" | "cancelled";
   readonly retryAfterMs?: Milliseconds;
-  /** The planner that said so, and what it went by. */
+  /** The planner that refused, and the state on which it decided. */
   readonly planner?: string;
   readonly basis?: RefusalBasis;
 };
 
-type Pending = {
+type PendingRequest = {
   readonly request: PlacementRequest;
   planner: string;
   resolve(result: Place | NoPlace): void;
 };
 
-type ReportFields = Pick<PlanProgress, "spentMs" | "retryAfterMs">;
+type ProgressDetails = Pick<PlanProgress, "spentMs" | "retryAfterMs">;
 
-type Held = {
+type ActiveAssignment = {
   readonly service: string;
   readonly decode: string;
   readonly tokens: number;
-  /** The planner that has it in its ledger. */
+  /** The planner whose ledger records it. */
   planner: string;
 };
 
 type PlannerLink = {
   readonly link: Link;
-  /** The other side has answered. */
-  ready: boolean;
+  /** The other side has responded. */
+  isReady: boolean;
 };
 
-/** This host's placement requests and places. */
+/** Requests assignments for this host's requests and reports their progress. */
 export class Places {
   readonly #context: GatewayContext;
-  readonly #own: PlanService;
+  readonly #localPlanner: PlanService;
   readonly #hosts: () => readonly HostEntry[];
-  readonly #pending = new Map<string, Pending>();
-  readonly #held = new Map<string, Held>();
+  readonly #pending = new Map<string, PendingRequest>();
+  readonly #active = new Map<string, ActiveAssignment>();
   readonly #links = new Map<string, PlannerLink>();
-  readonly #suspects = new Map<string, Milliseconds>();
+  readonly #retryLinkAt = new Map<string, Milliseconds>();
   /** The planner used last, by service. */
   readonly #planners = new Map<string, string>();
   readonly #orders: HostOrders;
 
   constructor(
     context: GatewayContext,
-    own: PlanService,
+    localPlanner: PlanService,
     hosts: () => readonly HostEntry[],
   ) {
     this.#context = context;
-    this.#own = own;
+    this.#localPlanner = localPlanner;
     this.#hosts = hosts;
     this.#orders = new HostOrders(context.self.id);
-    own.attach(
+    localPlanner.attach(
       context.self.id,
-      (message) => this.#take(context.self.id, message),
+      (message) => this.#receive(context.self.id, message),
     );
   }
 
-  /** Waits for a place; `cancel` ends the wait. */
+  /** Requests an assignment; `cancel` ends the wait. */
   find(request: PlacementRequest): {
     readonly result: Promise<Place | NoPlace>;
     cancel(): void;
@@ -115,57 +115,57 @@
     const result = new Promise<Place | NoPlace>((resolve) => {
       this.#pending.set(request.id, { request, planner, resolve });
     });
-    this.#ask(planner, request);
+    this.#sendRequest(planner, request);
     return { result, cancel: () => this.#cancel(request.id) };
   }
 
-  /** The request's prompt was read at the planned replica in `spentMs`. */
+  /** The prompt was prefilled at the assigned replica in `spentMs`. */
   prefilled(id: string, spentMs: Milliseconds): void {
-    this.#report(id, PlaceStage.prefilled, { spentMs });
+    this.#report(id, AssignmentStage.prefilled, { spentMs });
   }
 
-  /** The planned replica did not read the prompt. */
+  /** The assigned replica did not prefill the prompt. */
   prefillFailed(id: string): void {
-    this.#report(id, PlaceStage.prefillFailed);
+    this.#report(id, AssignmentStage.prefillFailed);
   }
 
-  /** The decode replica could not have the finished prefill. */
+  /** The decode replica could not fetch the export. */
   exportLost(id: string): void {
-    this.#giveBack(id, PlaceStage.exportLost);
+    this.#release(id, AssignmentStage.exportLost);
   }
 
-  /** The decode replica did not take the request. */
+  /** The decode replica did not accept the request. */
   failed(id: string): void {
-    this.#giveBack(id, PlaceStage.failed);
+    this.#release(id, AssignmentStage.failed);
   }
 
   /**
-   * The place was of no use: its replica had no memory, or its limit has no
-   * room before `retryAfterMs`.
+   * The decode replica had no memory, or its limit has no room before
+   * `retryAfterMs`.
    */
   refused(id: string, retryAfterMs?: Milliseconds): void {
-    const more = retryAfterMs === undefined ? {} : { retryAfterMs };
-    this.#giveBack(id, PlaceStage.refused, more);
+    const details = retryAfterMs === undefined ? {} : { retryAfterMs };
+    this.#release(id, AssignmentStage.refused, details);
   }
 
-  /** The limit of the planned prefill replica has no room before then. */
+  /** The limit of the prefill replica has no room before `retryAfterMs`. */
   prefillLimited(id: string, retryAfterMs: Milliseconds): void {
-    this.#report(id, PlaceStage.prefillLimited, { retryAfterMs });
+    this.#report(id, AssignmentStage.prefillLimited, { retryAfterMs });
   }
 
-  /** The request's whole answer came; the place is free again. */
+  /** The complete response was received; releases the assignment. */
   answered(id: string): void {
-    this.#giveBack(id, PlaceStage.answered);
+    this.#release(id, AssignmentStage.answered);
   }
 
-  /** The place is free again. */
+  /** Releases the assignment. */
   ended(id: string): void {
-    this.#giveBack(id, PlaceStage.ended);
+    this.#release(id, AssignmentStage.ended);
   }
 
   /**
-   * The planner of a service now. Links to those that come before it are
-   * opened beside; nobody waits for them.
+   * The current planner of a service. Links to hosts that precede it in the
+   * order are opened in the background; no request waits for them.
    */
   plannerOf(service: string): string {
     const planner = this.#bestPlanner(service);
@@ -173,7 +173,7 @@
     this.#planners.set(service, planner);
     if (before !== undefined && before !== planner) {
       this.#context.events.note("plannerChanged", { service, planner, before });
-      this.#rehome(service, planner);
+      this.#handOverAll(service, planner);
     }
     return planner;
   }
@@ -184,16 +184,16 @@
     const hosts = this.#hosts();
     for (const id of this.#orders.of(service, hosts)) {
       if (id === self.id) return id;
-      const known = this.#links.get(id);
-      if (known?.ready) return id;
-      const host = hosts.find((one) => one.id === id);
-      const suspect = (this.#suspects.get(id) ?? 0) > now;
-      if (host && !known && !suspect) this.#open(host);
+      const plannerLink = this.#links.get(id);
+      if (plannerLink?.isReady) return id;
+      const host = hosts.find((entry) => entry.id === id);
+      const mustWait = (this.#retryLinkAt.get(id) ?? 0) > now;
+      if (host && !plannerLink && !mustWait) this.#openLink(host);
     }
     return self.id;
   }
 
-  #open(host: HostEntry): void {
+  #openLink(host: HostEntry): void {
     const { clock, self } = this.#context;
     const target = {
       address: host.address,
@@ -203,67 +203,77 @@
     };
     const link = openLink(target, {
       ready: () => {
-        const known = this.#links.get(host.id);
-        if (known) known.ready = true;
+        const plannerLink = this.#links.get(host.id);
+        if (plannerLink) plannerLink.isReady = true;
       },
-      line: (text) => this.#takeLine(host.id, text),
-      closed: () => this.#lost(host.id),
+      line: (text) => this.#receiveLine(host.id, text),
+      closed: () => this.#linkClosed(host.id),
     });
-    this.#links.set(host.id, { link, ready: false });
+    this.#links.set(host.id, { link, isReady: false });
   }
 
-  /** Places of the service move to the ledger of its new planner. */
-  #rehome(service: string, planner: string): void {
-    for (const [id, held] of this.#held) {
-      if (held.service === service) this.#rehomeOne(id, held, planner);
+  /** Moves the assignments of a service to the ledger of its new planner. */
+  #handOverAll(service: string, planner: string): void {
+    for (const [id, assignment] of this.#active) {
+      if (assignment.service === service) {
+        this.#handOver(id, assignment, planner);
+      }
     }
   }
 
-  #rehomeOne(id: string, held: Held, planner: string): void {
-    if (held.planner === planner) return;
-    const stage = PlaceStage.ended;
-    this.#send(held.planner, { type: "progress", id, stage });
-    const { decode, tokens } = held;
+  #handOver(id: string, assignment: ActiveAssignment, planner: string): void {
+    if (assignment.planner === planner) return;
+    const stage = AssignmentStage.ended;
+    this.#send(assignment.planner, { type: "progress", id, stage });
+    const { decode, tokens } = assignment;
     this.#send(planner, { type: "keep", id, decode, tokens });
-    held.planner = planner;
+    assignment.planner = planner;
   }
 
-  #lost(host: string): void {
+  #linkClosed(host: string): void {
     const { clock, events } = this.#context;
-    const wasReady = this.#links.get(host)?.ready ?? false;
+    const wasReady = this.#links.get(host)?.isReady ?? false;
     this.#links.delete(host);
-    this.#suspects.set(host, clock.now() + SUSPECT_MS);
+    this.#retryLinkAt.set(host, clock.now() + LINK_RETRY_DELAY_MS);
     if (wasReady) events.note("plannerLost", { planner: host });
     for (const service of this.#planners.keys()) this.plannerOf(service);
-    for (const asked of this.#pending.values()) {
-      if (asked.planner !== host) continue;
-      asked.planner = this.plannerOf(asked.request.service);
-      this.#ask(asked.planner, asked.request);
+    for (const pending of this.#pending.values()) {
+      if (pending.planner !== host) continue;
+      pending.planner = this.plannerOf(pending.request.service);
+      this.#sendRequest(pending.planner, pending.request);
     }
   }
 
   #cancel(id: string): void {
-    const asked = this.#pending.get(id);
-    if (!asked) return;
+    const pending = this.#pending.get(id);
+    if (!pending) return;
     this.#pending.delete(id);
-    const stage = PlaceStage.ended;
-    this.#send(asked.planner, { type: "progress", id, stage });
-    asked.resolve({ reason: "cancelled" });
+    const stage = AssignmentStage.ended;
+    this.#send(pending.planner, { type: "progress", id, stage });
+    pending.resolve({ reason: "cancelled" });
   }
 
-  #giveBack(id: string, stage: PlaceStage, more: ReportFields = {}): void {
-    this.#report(id, stage, more);
-    this.#held.delete(id);
+  #release(
+    id: string,
+    stage: AssignmentStage,
+    details: ProgressDetails = {},
+  ): void {
+    this.#report(id, stage, details);
+    this.#active.delete(id);
   }
 
-  /** Tells the planner of a place how far its request is. */
-  #report(id: string, stage: PlaceStage, more: ReportFields = {}): void {
-    const held = this.#held.get(id);
-    if (!held) return;
-    this.#send(held.planner, { type: "progress", id, stage, ...more });
+  /** Reports the progress of a request to the planner of its assignment. */
+  #report(
+    id: string,
+    stage: AssignmentStage,
+    details: ProgressDetails = {},
+  ): void {
+    const assignment = this.#active.get(id);
+    if (!assignment) return;
+    this.#send(assignment.planner, { type: "progress", id, stage, ...details });
   }
 
-  #ask(planner: string, request: PlacementRequest): void {
+  #sendRequest(planner: string, request: PlacementRequest): void {
     const { clock, self } = this.#context;
     const now = clock.now();
     this.#send(planner, {
@@ -286,35 +296,35 @@
 
   #send(planner: string, message: HostMessage): void {
     const { self } = this.#context;
-    if (planner === self.id) return this.#own.take(self.id, message);
+    if (planner === self.id) return this.#localPlanner.take(self.id, message);
     this.#links.get(planner)?.link.send(message);
   }
 
-  #takeLine(from: string, text: string): void {
+  #receiveLine(from: string, text: string): void {
     const message = readJson(PlannerMessageSchema, text);
-    if (message) this.#take(from, message);
+    if (message) this.#receive(from, message);
   }
 
-  #take(from: string, message: PlannerMessage): void {
+  #receive(from: string, message: PlannerMessage): void {
     if (message.type === "ping") return;
     const { id } = message;
-    const asked = this.#pending.get(id);
-    if (!asked || asked.planner !== from) return;
+    const pending = this.#pending.get(id);
+    if (!pending || pending.planner !== from) return;
     this.#pending.delete(id);
     if (message.type === "refusal") {
-      return asked.resolve(noPlace(from, message));
+      return pending.resolve(toAssignmentRefusal(from, message));
     }
     const { decode, prefill } = message;
-    const { service, tokens } = asked.request;
-    const held = { service, decode, tokens, planner: from };
-    this.#held.set(id, held);
-    this.#rehomeOne(id, held, this.plannerOf(service));
-    asked.resolve(prefill === undefined ? { decode } : { decode, prefill });
+    const { service, tokens } = pending.request;
+    const assignment = { service, decode, tokens, planner: from };
+    this.#active.set(id, assignment);
+    this.#handOver(id, assignment, this.plannerOf(service));
+    pending.resolve(prefill === undefined ? { decode } : { decode, prefill });
   }
 }
 
-function noPlace(planner: string, refusal: PlanRefusal): NoPlace {
+function toAssignmentRefusal(planner: string, refusal: PlanRefusal): NoPlace {
   const { reason, retryAfterMs, basis } = refusal;
-  const comeBack = retryAfterMs === undefined ? {} : { retryAfterMs };
-  return { reason, planner, basis, ...comeBack };
+  const retry = retryAfterMs === undefined ? {} : { retryAfterMs };
+  return { reason, planner, basis, ...retry };
 }
--- a/src/gateway/planning/plain_choice.ts
+++ b/src/gateway/planning/plain_choice.ts
@@ -1,52 +1,57 @@
-/** Which replica of a plain service takes a request; pure. */
+/** Selects the replica of a plain service for a request. */
 import type { ReplicaEntry } from "../replicas/model.ts";
-import { least } from "./order.ts";
+import { minBy } from "./order.ts";
 
 /**
- * Below this share of its slots a replica answers a request at once, so the
- * hall decides: an answer that stays in its hall isn't lost when halls are cut
- * off from each other.
+ * Below this share of its slots in use a replica responds at once, so the hall
+ * decides: a response that stays in its hall survives a partition between
+ * halls.
  */
-const ROOMY_SHARE = 0.5;
+const LOW_UTILIZATION = 0.5;
 /**
- * Requests a slot, running and queued, at which a replica's queue is long: a
- * request then waits about as long as two others run. With a lower one callers
- * are refused whom the replicas would serve.
+ * Requests per slot, running and queued, at which a replica's queue is long: a
+ * new request waits about as long as two others run. With a lower value,
+ * requests are refused that the replicas would serve.
  */
-const LONG_QUEUE = 3;
-/** Breaks ties by load; small compared with the charge for another hall. */
-const TIE_WEIGHT = 0.02;
+const LONG_QUEUE_PER_SLOT = 3;
+/** Breaks ties by load; small compared with the remote hall penalty. */
+const TIE_BREAK_WEIGHT = 0.02;
 
-/** What a choice goes by. */
+/** Options of {@link choosePlainReplica}. */
 export type PlainQuery = {
   readonly hall: string;
-  /** What being in another hall counts as, as a share of the slots. */
-  readonly farCharge: number;
-  /** Requests that the whole fleet has at a replica. */
+  /** Cost of a replica in another hall, as a share of its slots. */
+  readonly remoteHallPenalty: number;
+  /** Requests that all hosts together have at a replica. */
   inFlight(incarnation: string): number;
   isPaused(incarnation: string): boolean;
-  /** Whether the replica rejected a request a moment ago. */
+  /** Whether the replica rejected a request recently. */
   isFull(incarnation: string): boolean;
   /**
-   * More urgent requests come too. A replica serves its queue in the order of
-   * arrival, so the less urgent are not sent to the end of a long one.
+   * Leave out replicas with long queues, because more urgent requests arrive
+   * too and a replica serves its queue in order of arrival.
    */
-  readonly yieldsWhenFull: boolean;
+  readonly avoidsLongQueues: boolean;
 };
 
-/** The replica with the least load for its slots, preferably in this hall. */
-export function choosePlain(
+/** The replica with the least load per slot, preferably in this hall. */
+export function choosePlainReplica(
   replicas: readonly ReplicaEntry[],
   query: PlainQuery,
 ): ReplicaEntry | undefined {
-  const sound = replicas.filter((one) => !query.isPaused(one.incarnation));
-  const candidates = sound.length > 0 ? sound : replicas;
-  return least(candidates, ({ incarnation, slots, hall }) => {
+  const healthy = replicas.filter((replica) =>
+    !query.isPaused(replica.incarnation)
+  );
+  const candidates = healthy.length > 0 ? healthy : replicas;
+  return minBy(candidates, ({ incarnation, slots, hall }) => {
     if (query.isFull(incarnation)) return Infinity;
-    const taken = query.inFlight(incarnation);
-    if (query.yieldsWhenFull && taken >= slots * LONG_QUEUE) return Infinity;
-    const far = hall === query.hall ? 0 : query.farCharge;
-    const share = taken / Math.max(1, slots);
-    return Math.max(ROOMY_SHARE, share) + far + share * TIE_WEIGHT;
+    const inFlight = query.inFlight(incarnation);
+    if (query.avoidsLongQueues && inFlight >= slots * LONG_QUEUE_PER_SLOT) {
+      return Infinity;
+    }
+    const penalty = hall === query.hall ? 0 : query.remoteHallPenalty;
+    const utilization = inFlight / Math.max(1, slots);
+    return Math.max(LOW_UTILIZATION, utilization) + penalty +
+      utilization * TIE_BREAK_WEIGHT;
   });
 }
--- a/src/gateway/planning/plain_places.ts
+++ b/src/gateway/planning/plain_places.ts
@@ -1,30 +1,35 @@
-/** Places at the replicas of plain services, which queue requests themselves. */
+/**
+ * Assigns requests to the replicas of plain services, which queue requests
+ * themselves.
+ */
 import type { Milliseconds } from "../../util/units.ts";
 import { LEAST_PER_SECOND } from "../limits/allowance.ts";
 import type { ReplicaEntry } from "../replicas/model.ts";
-import type { Waiting } from "./ask_queue.ts";
+import type { QueuedRequest } from "./ask_queue.ts";
 import type { Ledger } from "./ledger.ts";
-import type { LimitPace } from "./limit_pace.ts";
+import type { RequestPacer } from "./limit_pace.ts";
 import type { PlanAsk } from "./messages.ts";
-import { choosePlain } from "./plain_choice.ts";
+import { choosePlainReplica } from "./plain_choice.ts";
 import { RateShare } from "./rate_share.ts";
-import { Urgency } from "./urgency.ts";
+import { RecentPriorities } from "./urgency.ts";
 import type { PlannerView } from "./view.ts";
 
-/** A caller of a plain service that is full comes back after this, or twice. */
-const RETRY_MS = 300;
+/**
+ * Callers of a plain service that is full retry after one to two times this.
+ */
+const MIN_RETRY_MS = 300;
 
-/** What a choice goes by. */
-export type PlainPlacesSource = {
+/** Options of {@link PlainAssigner}. */
+export type PlainAssignerOptions = {
   readonly view: PlannerView;
   readonly ledger: Ledger;
-  readonly pace: LimitPace;
-  /** The replica rejected a request a moment ago, or its limit has no room. */
+  readonly pacer: RequestPacer;
+  /** The replica rejected a request recently, or its limit has no room. */
   isFull(incarnation: string, now: Milliseconds): boolean;
 };
 
-/** A replica, or when to come back. */
-export type PlainPlace =
+/** A replica, or the delay after which to retry. */
+export type PlainAssignment =
   | { readonly type: "replica"; readonly replica: ReplicaEntry }
   | {
     readonly type: "full";
@@ -33,77 +38,82 @@
     readonly isLimited: boolean;
   };
 
-/** Chooses replicas of plain services. */
-export class PlainPlaces {
-  readonly #source: PlainPlacesSource;
-  readonly #urgency = new Urgency();
+/** Selects replicas of plain services. */
+export class PlainAssigner {
+  readonly #options: PlainAssignerOptions;
+  readonly #priorities = new RecentPriorities();
   readonly #shares = new Map<string, RateShare>();
 
-  constructor(source: PlainPlacesSource) {
-    this.#source = source;
+  constructor(options: PlainAssignerOptions) {
+    this.#options = options;
   }
 
-  /** A request asks for a place. */
-  noteAsk({ service, priority }: PlanAsk, now: Milliseconds): void {
-    this.#urgency.note(service, priority, now);
-    this.#shareOf(service).noteAsk(priority, now);
+  /** Counts a request for an assignment. */
+  noteRequest({ service, priority }: PlanAsk, now: Milliseconds): void {
+    this.#priorities.note(service, priority, now);
+    this.#shareOf(service).noteRequest(priority, now);
   }
 
-  /** A place at one of the replicas, of which there is one at least. */
-  find(
-    one: Waiting,
-    open: readonly ReplicaEntry[],
+  /**
+   * Assigns a request to one of the replicas, of which there must be at least
+   * one.
+   */
+  assign(
+    queued: QueuedRequest,
+    replicas: readonly ReplicaEntry[],
     now: Milliseconds,
-  ): PlainPlace {
-    const { view, pace } = this.#source;
-    const { ask: { service, longestRetryMs }, priority } = one;
+  ): PlainAssignment {
+    const { view, pacer } = this.#options;
+    const { request: { service, longestRetryMs }, priority } = queued;
     const share = this.#shareOf(service);
-    const perSecond = this.#rateOf(open);
+    const perSecond = this.#rateOf(replicas);
     const isLimited = perSecond !== undefined;
-    const mayTake = !isLimited || one.begun ||
-      share.mayTake(priority, perSecond, now);
-    const replica = mayTake ? this.#choose(one, open, now) : undefined;
+    const mayGrant = !isLimited || queued.mayHaveRun ||
+      share.mayGrant(priority, perSecond, now);
+    const replica = mayGrant ? this.#choose(queued, replicas, now) : undefined;
     if (replica) {
       const { incarnation } = replica;
       view.noteTry(incarnation, now);
-      pace.noteGrant(incarnation, now);
+      pacer.noteGrant(incarnation, now);
       share.noteGrant(priority, now);
       return { type: "replica", replica };
     }
     const retryAfterMs = isLimited
-      ? share.comeBackMs({
+      ? share.retryAfterMs({
         perSecond,
-        soonestMs: pace.soonestMs(open, now),
+        minWaitMs: pacer.minWaitMs(replicas, now),
         longestRetryMs,
       }, now)
-      : RETRY_MS * (1 + view.random());
+      : MIN_RETRY_MS * (1 + view.random());
     return { type: "full", retryAfterMs, isLimited };
   }
 
-  /** The replica with least load; a full one is left out. */
+  /** The replica with the least load; full replicas are left out. */
   #choose(
-    one: Waiting,
-    open: readonly ReplicaEntry[],
+    queued: QueuedRequest,
+    replicas: readonly ReplicaEntry[],
     now: Milliseconds,
   ): ReplicaEntry | undefined {
-    const { view, ledger, isFull } = this.#source;
-    const { service, hall } = one.ask;
-    return choosePlain(open, {
+    const { view, ledger, isFull } = this.#options;
+    const { service, hall } = queued.request;
+    return choosePlainReplica(replicas, {
       hall,
-      farCharge: view.farCharge,
-      inFlight: (incarnation) => ledger.memoryAt(incarnation),
+      remoteHallPenalty: view.farCharge,
+      inFlight: (incarnation) => ledger.reservedTokensAt(incarnation),
       isPaused: (incarnation) => view.isPaused(incarnation),
       isFull: (incarnation) => isFull(incarnation, now),
-      yieldsWhenFull: !one.begun &&
-        this.#urgency.hasMoreUrgent(service, one.priority, now),
+      avoidsLongQueues: !queued.mayHaveRun &&
+        this.#priorities.hasMoreUrgent(service, queued.priority, now),
     });
   }
 
-  /** Requests a second that all of them take; undefined: one takes any number. */
-  #rateOf(open: readonly ReplicaEntry[]): number | undefined {
+  /**
+   * Requests per second that all replicas accept; undefined: one has no limit.
+   */
+  #rateOf(replicas: readonly ReplicaEntry[]): number | undefined {
     let sum = 0;
-    for (const { incarnation } of open) {
-      const perSecond = this.#source.view.limitOf(incarnation);
+    for (const { incarnation } of replicas) {
+      const perSecond = this.#options.view.limitOf(incarnation);
       if (perSecond === undefined) return undefined;
       sum += perSecond;
     }
@@ -113,7 +123,7 @@
   #shareOf(service: string): RateShare {
     const known = this.#shares.get(service);
     if (known) return known;
-    const share = new RateShare(this.#source.view.random);
+    const share = new RateShare(this.#options.view.random);
     this.#shares.set(service, share);
     return share;
   }
--- a/src/gateway/planning/plan_service.ts
+++ b/src/gateway/planning/plan_service.ts
@@ -1,4 +1,4 @@
-/** This host's planner, for itself and for the hosts that link to it. */
+/** This host's planner, for its own requests and those of linked hosts. */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { Milliseconds } from "../../util/units.ts";
 import { readJson } from "../../util/read_json.ts";
@@ -13,21 +13,21 @@
 import { Planner } from "./planner.ts";
 import type { StageLoad } from "./view.ts";
 
-/** The queue is gone through again after this time when nothing happens. */
-const PASS_MS = 20;
-/** A queue this long is gone through for several messages at once. */
+/** Interval of passes over the queue when no message arrives. */
+const PASS_INTERVAL_MS = 20;
+/** Above this queue length, one pass handles several messages. */
 const LONG_QUEUE = 16;
-const LONG_PASS_MS = 3;
+const LONG_QUEUE_PASS_DELAY_MS = 3;
 
 /** Carries messages between the planner and the hosts. */
 export class PlanService {
   readonly #context: GatewayContext;
   readonly #planner: Planner;
   readonly #hosts = new Map<string, (message: PlannerMessage) => void>();
-  #passing = false;
+  #isPassScheduled = false;
   /**
-   * Replicas that were ordered to change, with the stage that they change to:
-   * they take no work until they are listed with it.
+   * Replicas that were ordered to change stage, with their new stage: they get
+   * no work until they are listed with it.
    */
   readonly changing = new Map<string, ReplicaStage>();
 
@@ -35,8 +35,8 @@
     this.#context = context;
     this.#planner = new Planner({
       replicasOf: (service) =>
-        context.replicas.openOf(service).map((one) => one.entry)
-          .filter((one) => !this.#isChanging(one)),
+        context.replicas.openOf(service).map((replica) => replica.entry)
+          .filter((entry) => !this.#isChanging(entry)),
       memoryOf: (service) =>
         (context.routes.service(service)?.engine?.cacheTokens ?? 0) *
         context.tuning.memoryShare,
@@ -55,26 +55,26 @@
   }
 
   #isChanging({ incarnation, stage }: ReplicaEntry): boolean {
-    const wanted = this.changing.get(incarnation);
-    return wanted !== undefined && stage !== wanted;
+    const desired = this.changing.get(incarnation);
+    return desired !== undefined && stage !== desired;
   }
 
-  /** Requests that wait for a place. */
+  /** Requests that wait for an assignment. */
   get waiting(): number {
     return this.#planner.waiting;
   }
 
-  /** How busy the two stages of a service are. */
+  /** Utilization of the two stages of a service. */
   loadOf(service: string): StageLoad {
     return this.#planner.loadOf(service, this.#context.clock.now());
   }
 
-  /** Where answers for a host go. */
-  attach(host: string, answer: (message: PlannerMessage) => void): void {
-    this.#hosts.set(host, answer);
+  /** Registers the function that sends the planner's messages to a host. */
+  attach(host: string, send: (message: PlannerMessage) => void): void {
+    this.#hosts.set(host, send);
   }
 
-  /** Takes a host's message. */
+  /** Handles a message from a host. */
   take(from: string, message: HostMessage): void {
     const now = this.#context.clock.now();
     switch (message.type) {
@@ -91,41 +91,41 @@
         return;
     }
     const isLong = this.#planner.waiting > LONG_QUEUE;
-    this.#passSoon(isLong ? LONG_PASS_MS : 0);
+    this.#schedulePass(isLong ? LONG_QUEUE_PASS_DELAY_MS : 0);
   }
 
-  /** Serves a link that a host has opened. */
-  accept(incoming: IncomingMessage, answer: ServerResponse): void {
-    const name = String(incoming.headers[LINK_HOST_HEADER] ?? "");
-    answer.writeHead(200, { "Content-Type": "application/x-ndjson" });
-    answer.flushHeaders();
+  /** Serves a link that another host has opened. */
+  accept(incoming: IncomingMessage, response: ServerResponse): void {
+    const host = String(incoming.headers[LINK_HOST_HEADER] ?? "");
+    response.writeHead(200, { "Content-Type": "application/x-ndjson" });
+    response.flushHeaders();
     const { clock } = this.#context;
     const reply = (message: PlannerMessage) => link.send(message);
-    const link: Link = acceptLink(incoming, answer, {
+    const link: Link = acceptLink(incoming, response, {
       clock,
       events: {
-        line: (text) => this.#takeLine(name, text),
+        line: (text) => this.#handleLine(host, text),
         closed: () => {
-          // A newer link of the same host may have taken its place.
-          if (this.#hosts.get(name) !== reply) return;
-          this.#hosts.delete(name);
-          this.#planner.lose(name, clock.now());
+          // A newer link of the same host may have replaced this one.
+          if (this.#hosts.get(host) !== reply) return;
+          this.#hosts.delete(host);
+          this.#planner.noteHostLost(host, clock.now());
         },
       },
     });
-    this.attach(name, reply);
+    this.attach(host, reply);
   }
 
-  #takeLine(from: string, text: string): void {
+  #handleLine(from: string, text: string): void {
     const message = readJson(HostMessageSchema, text);
     if (message) this.take(from, message);
   }
 
-  #passSoon(delayMs: Milliseconds): void {
-    if (this.#passing) return;
-    this.#passing = true;
+  #schedulePass(delayMs: Milliseconds): void {
+    if (this.#isPassScheduled) return;
+    this.#isPassScheduled = true;
     const run = () => {
-      this.#passing = false;
+      this.#isPassScheduled = false;
       this.#pass();
     };
     if (delayMs === 0) queueMicrotask(run);
@@ -138,6 +138,6 @@
     ) {
       this.#hosts.get(to)?.(message);
     }
-    if (this.#planner.waiting > 0) this.#passSoon(PASS_MS);
+    if (this.#planner.waiting > 0) this.#schedulePass(PASS_INTERVAL_MS);
   }
 }
--- a/src/gateway/planning/planner.ts
+++ b/src/gateway/planning/planner.ts
@@ -1,172 +1,175 @@
 /**
- * Places the requests of one pool: a queue in order of due time, a ledger of
- * what was given away. The ledger only guides: the replica's own reservation
- * decides, so a planner may start empty and two may plan at once without harm.
+ * Assigns the requests of services to replicas, with a queue in scheduling
+ * order and a ledger of what is assigned. The ledger is advisory: the replica's
+ * own reservation decides, so a planner may start with an empty ledger, and two
+ * planners may plan the same service at once.
  */
 import type { Milliseconds } from "../../util/units.ts";
 import type { ReplicaEntry } from "../replicas/model.ts";
-import { AskQueue, type Waiting } from "./ask_queue.ts";
-import { EngineChoice, type EnginePlaces } from "./engine_choice.ts";
+import { type QueuedRequest, RequestQueue } from "./ask_queue.ts";
+import { type EngineAssignment, EngineChoice } from "./engine_choice.ts";
 import { ExportLosses } from "./export_losses.ts";
 import { firstEventMs, Forecasts } from "./forecasts.ts";
 import { Ledger } from "./ledger.ts";
-import { LimitPace } from "./limit_pace.ts";
-import { PlainPlaces } from "./plain_places.ts";
+import { RequestPacer } from "./limit_pace.ts";
+import { PlainAssigner } from "./plain_places.ts";
 import { PoolSnapshot } from "./pool_snapshot.ts";
-import { PromptMemory } from "./prompt_memory.ts";
+import { PromptLocations } from "./prompt_memory.ts";
 import { refusalBasis } from "./refusal_basis.ts";
 import { stageLoad } from "./stage_load.ts";
 import type { PlannerAnswer, PlannerView, StageLoad } from "./view.ts";
 import {
-  PlaceStage,
+  AssignmentStage,
   type PlanAsk,
   type PlanGrant,
-  type PlanKeep,
+  type PlanHandover,
   type PlannerMessage,
   type PlanProgress,
   type PlanRefusal,
 } from "./messages.ts";
 
-/** A replica that had no memory is not given any for this time. */
-const FULL_MS = 60;
-/** A place is believed for so long without a report on it. */
-const PLACE_LIFE_MS = 20_000;
+/** How long a replica that had no memory is given no requests. */
+const FULL_BACKOFF_MS = 60;
+/** TTL of an assignment whose host reports nothing. */
+const ASSIGNMENT_TTL_MS = 20_000;
 /**
- * Places of a host that is out of touch are believed for so long, since answers
- * that were under way hold their memory until they end.
+ * TTL of the assignments of an unreachable host: responses in progress use
+ * their memory until they end.
  */
-const ORPHAN_LIFE_MS = 2000;
+const ORPHAN_TTL_MS = 2000;
 
 /** The planner of the services that this host plans. */
 export class Planner {
   readonly #view: PlannerView;
   readonly #ledger = new Ledger();
-  readonly #queue = new AskQueue();
+  readonly #queue = new RequestQueue();
   readonly #losses = new ExportLosses();
-  readonly #prompts = new PromptMemory();
+  readonly #promptLocations = new PromptLocations();
   readonly #forecasts: Forecasts;
-  readonly #choice: EngineChoice;
-  readonly #plain: PlainPlaces;
-  readonly #pace: LimitPace;
+  readonly #engineChoice: EngineChoice;
+  readonly #plainAssigner: PlainAssigner;
+  readonly #pacer: RequestPacer;
   readonly #fullUntil = new Map<string, Milliseconds>();
 
   constructor(view: PlannerView) {
     this.#view = view;
-    const pace = new LimitPace((incarnation) => view.limitOf(incarnation));
-    this.#pace = pace;
+    const pacer = new RequestPacer((incarnation) => view.limitOf(incarnation));
+    this.#pacer = pacer;
     this.#forecasts = new Forecasts(view.random);
     const isFull = (incarnation: string, now: Milliseconds) =>
       (this.#fullUntil.get(incarnation) ?? 0) > now ||
-      !pace.hasRoom(incarnation, now);
+      !pacer.hasRoom(incarnation, now);
     const ledger = this.#ledger;
-    this.#choice = new EngineChoice({
+    this.#engineChoice = new EngineChoice({
       view,
       ledger,
-      prompts: this.#prompts,
+      promptLocations: this.#promptLocations,
       isFull,
     });
-    this.#plain = new PlainPlaces({ view, ledger, pace, isFull });
+    this.#plainAssigner = new PlainAssigner({ view, ledger, pacer, isFull });
   }
 
-  /** Requests that wait for a place. */
+  /** Requests that wait for an assignment. */
   get waiting(): number {
     return this.#queue.size;
   }
 
-  /** How busy the two stages of a service are, from 0 to 1. */
+  /** Utilization of the two stages of a service, from 0 to 1. */
   loadOf(service: string, now: Milliseconds): StageLoad {
     return stageLoad(this.#ledger, {
       replicas: this.#view.replicasOf(service),
       memory: this.#view.memoryOf(service),
-      hasRoom: (incarnation) => this.#pace.hasRoom(incarnation, now),
+      hasRoom: (incarnation) => this.#pacer.hasRoom(incarnation, now),
     });
   }
 
-  /** Queues a placement request; `pass` answers it. */
-  enqueue(from: string, ask: PlanAsk, now: Milliseconds): void {
-    this.#ledger.remove(ask.id);
-    if (this.#view.memoryOf(ask.service) === 0) this.#plain.noteAsk(ask, now);
-    const returned = this.#forecasts.noteAsk(ask, now);
-    this.#queue.add({ from, ask, returned }, now);
+  /** Queues a request; `pass` responds to it. */
+  enqueue(host: string, request: PlanAsk, now: Milliseconds): void {
+    this.#ledger.remove(request.id);
+    if (this.#view.memoryOf(request.service) === 0) {
+      this.#plainAssigner.noteRequest(request, now);
+    }
+    const isRetry = this.#forecasts.noteRequest(request, now);
+    this.#queue.add({ host, request, isRetry }, now);
   }
 
-  /** Enters a place that was given elsewhere. */
-  restore(from: string, keep: PlanKeep, now: Milliseconds): void {
+  /** Adds an assignment that another planner granted. */
+  restore(host: string, handover: PlanHandover, now: Milliseconds): void {
     this.#ledger.add({
-      id: keep.id,
+      id: handover.id,
       service: undefined,
-      from,
-      decode: keep.decode,
-      tokens: keep.tokens,
+      host,
+      decode: handover.decode,
+      tokens: handover.tokens,
       prefill: undefined,
-      readBy: undefined,
+      prefilledBy: undefined,
       promptTokens: 0,
       key: "",
       tokensAhead: 0,
       grantedAt: now,
-      until: now + PLACE_LIFE_MS,
+      expiresAt: now + ASSIGNMENT_TTL_MS,
     });
   }
 
-  /** Takes a host's report on a placed request. */
+  /** Handles a host's progress report. */
   report(report: PlanProgress, now: Milliseconds): void {
     const { id, stage, spentMs } = report;
     switch (stage) {
-      case PlaceStage.prefilled: {
-        const entry = this.#ledger.prefilled(id, spentMs);
-        if (entry?.readBy === undefined) return;
-        const { key, decode, readBy } = entry;
-        this.#prompts.note(key, { decode, prefill: readBy }, now);
-        this.#view.noteSuccess(readBy);
+      case AssignmentStage.prefilled: {
+        const entry = this.#ledger.endPrefill(id, spentMs);
+        if (entry?.prefilledBy === undefined) return;
+        const { key, decode, prefilledBy } = entry;
+        this.#promptLocations.note(key, { decode, prefill: prefilledBy }, now);
+        this.#view.noteSuccess(prefilledBy);
         return;
       }
-      case PlaceStage.prefillLimited: {
-        const readBy = this.#ledger.prefilled(id, undefined)?.readBy;
-        if (readBy !== undefined) this.#pace.noteRefusal(readBy, report, now);
+      case AssignmentStage.prefillLimited: {
+        const replica = this.#ledger.endPrefill(id, undefined)?.prefilledBy;
+        if (replica !== undefined) this.#pacer.noteFull(replica, report, now);
         return;
       }
-      case PlaceStage.prefillFailed: {
-        const readBy = this.#ledger.prefilled(id, undefined)?.readBy;
-        if (readBy !== undefined) this.#view.noteFailure(readBy, now);
+      case AssignmentStage.prefillFailed: {
+        const replica = this.#ledger.endPrefill(id, undefined)?.prefilledBy;
+        if (replica !== undefined) this.#view.noteFailure(replica, now);
         return;
       }
       default:
-        this.#takeBack(report, now);
+        this.#release(report, now);
     }
   }
 
-  #takeBack(report: PlanProgress, now: Milliseconds): void {
+  #release(report: PlanProgress, now: Milliseconds): void {
     const { id, stage, retryAfterMs } = report;
     this.#queue.remove(id);
     const entry = this.#ledger.remove(id);
     if (!entry) return;
-    const { decode, readBy } = entry;
-    if (readBy !== undefined && stage === PlaceStage.exportLost) {
-      this.#losses.noteLost(readBy, now);
-      this.#prompts.forget(entry.key);
+    const { decode, prefilledBy } = entry;
+    if (prefilledBy !== undefined && stage === AssignmentStage.exportLost) {
+      this.#losses.noteLost(prefilledBy, now);
+      this.#promptLocations.forget(entry.key);
     }
-    if (stage === PlaceStage.answered) {
+    if (stage === AssignmentStage.answered) {
       if (entry.service !== undefined) {
         this.#forecasts.noteEnd(entry.service, now - entry.grantedAt);
       }
       this.#view.noteSuccess(decode);
-      if (readBy !== undefined) this.#losses.noteKept(readBy);
+      if (prefilledBy !== undefined) this.#losses.noteUsed(prefilledBy);
     }
-    if (stage === PlaceStage.refused) {
+    if (stage === AssignmentStage.refused) {
       const isFull = retryAfterMs === undefined;
-      if (isFull) this.#fullUntil.set(decode, now + FULL_MS);
-      else this.#pace.noteRefusal(decode, report, now);
+      if (isFull) this.#fullUntil.set(decode, now + FULL_BACKOFF_MS);
+      else this.#pacer.noteFull(decode, report, now);
     }
-    if (stage === PlaceStage.failed) this.#view.noteFailure(decode, now);
+    if (stage === AssignmentStage.failed) this.#view.noteFailure(decode, now);
   }
 
-  /** A host went out of touch. */
-  lose(from: string, now: Milliseconds): void {
-    this.#ledger.limitHost(from, now + ORPHAN_LIFE_MS);
-    this.#queue.removeHost(from);
+  /** Handles the loss of a host's link. */
+  noteHostLost(host: string, now: Milliseconds): void {
+    this.#ledger.limitHostExpiry(host, now + ORPHAN_TTL_MS);
+    this.#queue.removeHost(host);
   }
 
-  /** Goes through the queue; gives the answers that follow. */
+  /** Goes through the queue once; returns the responses to send. */
   pass(now: Milliseconds): PlannerAnswer[] {
     this.#ledger.expire(now);
     const answers: PlannerAnswer[] = [];
@@ -177,18 +180,19 @@
       if (!known) pools.set(service, pool);
       return pool;
     };
-    const serviceMs = (ask: PlanAsk) => firstEventMs(poolOf(ask.service), ask);
-    for (const one of this.#queue.inOrder(now, serviceMs)) {
-      const pool = poolOf(one.ask.service);
-      const message = this.#answer(one, pool, now) ??
-        this.#foresee(one, pool, now);
+    const serviceMs = (request: PlanAsk) =>
+      firstEventMs(poolOf(request.service), request);
+    for (const queued of this.#queue.inOrder(now, serviceMs)) {
+      const pool = poolOf(queued.request.service);
+      const message = this.#decide(queued, pool, now) ??
+        this.#refuseEarly(queued, pool, now);
       if (!message) {
-        pool.noteWaiting(one.ask);
+        pool.noteWaiting(queued.request);
         continue;
       }
       if (message.type === "grant") pool.noteGrant();
-      this.#queue.remove(one.ask.id);
-      answers.push({ to: one.from, message });
+      this.#queue.remove(queued.request.id);
+      answers.push({ to: queued.host, message });
     }
     return answers;
   }
@@ -200,86 +204,88 @@
       ledger: this.#ledger,
       isPaused: (incarnation) => this.#view.isPaused(incarnation),
       limitOf: (incarnation) => this.#view.limitOf(incarnation),
-      hasRoom: (incarnation) => this.#pace.hasRoom(incarnation, now),
-      isAvoided: (incarnation) => this.#losses.avoided(incarnation, now),
+      hasRoom: (incarnation) => this.#pacer.hasRoom(incarnation, now),
+      isAvoided: (incarnation) => this.#losses.isAvoided(incarnation, now),
     });
   }
 
-  #answer(
-    one: Waiting,
+  #decide(
+    queued: QueuedRequest,
     pool: PoolSnapshot,
     now: Milliseconds,
   ): PlannerMessage | undefined {
-    const { excluded } = one.ask;
-    if (now >= one.giveUpAt) return this.#refusal(one, "no-memory");
-    const allowed = <Some extends ReplicaEntry>(all: readonly Some[]) =>
+    const { excluded } = queued.request;
+    if (now >= queued.abandonAt) return this.#refusal(queued, "no-memory");
+    const allowed = <Entry extends ReplicaEntry>(entries: readonly Entry[]) =>
       excluded.length === 0
-        ? all
-        : all.filter((each) => !excluded.includes(each.incarnation));
+        ? entries
+        : entries.filter((entry) => !excluded.includes(entry.incarnation));
     if (pool.memory === 0) {
-      return this.#placePlain(one, allowed(pool.replicas), now);
+      return this.#assignPlain(queued, allowed(pool.replicas), now);
     }
     const decodes = allowed(pool.decodes);
-    if (decodes.length === 0) return this.#refusal(one, "no-replica");
-    // What gets free goes to the more urgent that wait for it, however small
-    // the less urgent request is.
-    if (!one.begun && one.priority > pool.waitingPriority) return undefined;
-    const mayFit = excluded.length > 0 || pool.mayFit(one.ask.tokens);
-    const soundDecodes = allowed(pool.soundDecodes);
-    const candidates = soundDecodes.length > 0 ? soundDecodes : decodes;
-    const limitedMs = this.#pace.soonestMs(candidates, now);
-    if (now + limitedMs > one.giveUpAt) {
-      const refusal = this.#refusal(one, "busy", true);
+    if (decodes.length === 0) return this.#refusal(queued, "no-replica");
+    // Memory that is released goes to more urgent requests that wait for it,
+    // even if a less urgent request would fit already.
+    if (!queued.mayHaveRun && queued.priority > pool.mostUrgentWaiting) {
+      return undefined;
+    }
+    const mayFit = excluded.length > 0 || pool.mayFit(queued.request.tokens);
+    const healthyDecodes = allowed(pool.healthyDecodes);
+    const candidates = healthyDecodes.length > 0 ? healthyDecodes : decodes;
+    const limitedMs = this.#pacer.minWaitMs(candidates, now);
+    if (now + limitedMs > queued.abandonAt) {
+      const refusal = this.#refusal(queued, "busy", true);
       return { ...refusal, retryAfterMs: limitedMs };
     }
-    const places = this.#choice.placesFor(one.ask, {
+    const chosen = this.#engineChoice.assignmentFor(queued.request, {
       decodes: candidates,
-      prefills: allowed(pool.readers),
-      mayReadLater: allowed(pool.readers).length <
-        allowed(pool.soundPrefills).length,
+      prefills: allowed(pool.availablePrefills),
+      mayPrefillLater: allowed(pool.availablePrefills).length <
+        allowed(pool.healthyPrefills).length,
       mayFit,
-      slackMs: one.dueAt - now,
+      slackMs: queued.dueAt - now,
     }, now);
-    if (!places) return undefined;
-    this.#pace.noteGrant(places.decode.incarnation, now);
-    if (places.prefill) this.#pace.noteGrant(places.prefill.incarnation, now);
-    return this.#grant(one, places, now);
+    if (!chosen) return undefined;
+    this.#pacer.noteGrant(chosen.decode.incarnation, now);
+    if (chosen.prefill) this.#pacer.noteGrant(chosen.prefill.incarnation, now);
+    return this.#grant(queued, chosen, now);
   }
 
-  /** A plain service queues at its replicas. */
-  #placePlain(
-    one: Waiting,
-    open: readonly ReplicaEntry[],
+  /** Assigns at once or refuses: plain services queue at their replicas. */
+  #assignPlain(
+    queued: QueuedRequest,
+    replicas: readonly ReplicaEntry[],
     now: Milliseconds,
   ): PlannerMessage {
-    if (open.length === 0) return this.#refusal(one, "no-replica");
-    const place = this.#plain.find(one, open, now);
-    if (place.type === "replica") {
-      return this.#grant(one, { decode: place.replica }, now);
+    if (replicas.length === 0) return this.#refusal(queued, "no-replica");
+    const assignment = this.#plainAssigner.assign(queued, replicas, now);
+    if (assignment.type === "replica") {
+      return this.#grant(queued, { decode: assignment.replica }, now);
     }
-    const { retryAfterMs, isLimited } = place;
-    return { ...this.#refusal(one, "busy", isLimited), retryAfterMs };
+    const { retryAfterMs, isLimited } = assignment;
+    return { ...this.#refusal(queued, "busy", isLimited), retryAfterMs };
   }
 
-  /** Refuses at once what can't begin before its caller gives up. */
-  #foresee(
-    one: Waiting,
+  /** Refuses a request that can't start before its caller times out. */
+  #refuseEarly(
+    queued: QueuedRequest,
     pool: PoolSnapshot,
     now: Milliseconds,
   ): PlannerMessage | undefined {
-    const retryAfterMs = this.#forecasts.comeBackMs(one, pool, now);
+    const retryAfterMs = this.#forecasts.retryAfterMs(queued, pool, now);
     if (retryAfterMs === undefined) return undefined;
     const isLimited = Number.isFinite(pool.startRate);
-    return { ...this.#refusal(one, "busy", isLimited), retryAfterMs };
+    return { ...this.#refusal(queued, "busy", isLimited), retryAfterMs };
   }
 
-  /** A refusal with what it was decided on. */
+  /** Builds a refusal with the state on which it was decided. */
   #refusal(
-    one: Waiting,
+    queued: QueuedRequest,
     reason: PlanRefusal["reason"],
     isLimited = false,
   ): PlanRefusal {
-    const { id, service } = one.ask;
+    const { id, service } = queued.request;
     const basis = refusalBasis(this.#ledger, {
       replicas: this.#view.replicasOf(service),
       memory: this.#view.memoryOf(service),
@@ -290,28 +296,28 @@
   }
 
   #grant(
-    one: Waiting,
-    places: EnginePlaces,
+    queued: QueuedRequest,
+    assignment: EngineAssignment,
     now: Milliseconds,
   ): PlanGrant {
-    const { id, service, tokens, promptTokens, key } = one.ask;
-    const decode = places.decode.incarnation;
-    const prefill = places.prefill?.incarnation;
+    const { id, service, tokens, promptTokens, key } = queued.request;
+    const decode = assignment.decode.incarnation;
+    const prefill = assignment.prefill?.incarnation;
     this.#ledger.add({
       id,
       service,
-      from: one.from,
+      host: queued.host,
       decode,
       tokens,
       prefill,
-      readBy: prefill,
+      prefilledBy: prefill,
       promptTokens,
       key,
-      tokensAhead: prefill === undefined ? 0 : this.#ledger.promptsAt(prefill),
+      tokensAhead: prefill === undefined ? 0 : this.#ledger.backlogAt(prefill),
       grantedAt: now,
-      until: now + PLACE_LIFE_MS,
+      expiresAt: now + ASSIGNMENT_TTL_MS,
     });
-    if (prefill === undefined) this.#prompts.note(key, { decode }, now);
+    if (prefill === undefined) this.#promptLocations.note(key, { decode }, now);
     const base = { type: "grant" as const, id, decode };
     return prefill === undefined ? base : { ...base, prefill };
   }
--- a/src/gateway/planning/pool_snapshot.ts
+++ b/src/gateway/planning/pool_snapshot.ts
@@ -1,155 +1,169 @@
 /**
- * The replicas of one service as they are during one pass over the queue: what
- * doesn't depend on the request is worked out once a pass, not once a request.
+ * State of a service's replicas during one pass over the queue: whatever
+ * doesn't depend on the request is computed once per pass.
  */
 import type { Milliseconds } from "../../util/units.ts";
 import type { Line } from "../../util/line_fit.ts";
 import { type ReplicaEntry, ReplicaStage } from "../replicas/model.ts";
 import type { Ledger } from "./ledger.ts";
-import { readingRate, usualLine } from "./prefill_times.ts";
+import { fastestLine, totalPrefillRate } from "./prefill_times.ts";
 
-/** What a snapshot is made from. */
-export type PoolSource = {
-  /** Replicas of the service that take new work. */
+/** Options of {@link PoolSnapshot}. */
+export type PoolSnapshotOptions = {
+  /** Replicas of the service that accept new work. */
   readonly replicas: readonly ReplicaEntry[];
   /** Memory of one decode replica, in tokens; 0 for a plain service. */
   readonly memory: number;
   readonly ledger: Ledger;
   /** Whether the replica failed recently and gets no new work. */
   isPaused(incarnation: string): boolean;
-  /** Requests a second that a replica takes; undefined: any number. */
+  /** Requests per second that a replica accepts; undefined: no limit. */
   limitOf(incarnation: string): number | undefined;
   /** Whether the replica's limit has room for a request now. */
   hasRoom(incarnation: string): boolean;
-  /** A prefill replica whose finished prefills get lost. */
+  /** Whether the exports of a prefill replica get lost. */
   isAvoided(incarnation: string): boolean;
 };
 
-/** Replicas by stage, and the queue before the next request. */
+/** Replicas by stage, and the queue ahead of the next request. */
 export class PoolSnapshot {
   readonly replicas: readonly ReplicaEntry[];
   readonly memory: number;
   readonly decodes: readonly ReplicaEntry[];
-  /** Decode replicas that don't fail; all of them where all do. */
-  readonly soundDecodes: readonly ReplicaEntry[];
+  /** Decode replicas that don't fail; all of them if all fail. */
+  readonly healthyDecodes: readonly ReplicaEntry[];
   readonly prefills: readonly ReplicaEntry[];
-  /** Prefill replicas that neither fail nor lose what they read. */
-  readonly soundPrefills: readonly ReplicaEntry[];
-  /** Times of a prefill at the fastest prefill replica. */
-  readonly line: Line;
-  /** Requests that are served before the next one and still wait. */
+  /** Prefill replicas that neither fail nor lose their exports. */
+  readonly healthyPrefills: readonly ReplicaEntry[];
+  /** Prefill time at the fastest prefill replica, over prompt tokens. */
+  readonly prefillLine: Line;
+  /** Requests that are scheduled before the next one and still wait. */
   readonly ahead = { requests: 0, tokens: 0, promptTokens: 0 };
-  /** The most urgent priority that waits. */
-  waitingPriority = Infinity;
+  /** The most urgent priority among the waiting requests. */
+  mostUrgentWaiting = Infinity;
   readonly #ledger: Ledger;
-  readonly #hasRoom: PoolSource["hasRoom"];
-  #readers: readonly ReplicaEntry[] | undefined;
-  /** Prompt tokens that the prefill replicas read in a millisecond. */
-  readonly readingRate: number;
+  readonly #hasRoom: PoolSnapshotOptions["hasRoom"];
+  #availablePrefills: readonly ReplicaEntry[] | undefined;
+  /** Prompt tokens that the prefill replicas process per millisecond. */
+  readonly prefillRate: number;
   /**
-   * Requests a second that the decode replicas take, if all of them limit their
-   * requests; else Infinity.
+   * Requests per second that the decode replicas accept, if all of them have a
+   * limit; else Infinity.
    */
   readonly startRate: number;
   /**
-   * Decode replicas that requests are forecast to wait for: those without a
-   * limit, for the memory of others is given at their rate; all where all have one.
+   * Decode replicas for which waits are forecast: those without a limit,
+   * because the others are assigned at their rate; all replicas if all have a
+   * limit.
    */
-  readonly #awaited: readonly ReplicaEntry[];
+  readonly #forecastDecodes: readonly ReplicaEntry[];
   #largestFree: number | undefined;
-  #held: number | undefined;
-  #promptsGiven: number | undefined;
+  #forecastReserved: number | undefined;
+  #assignedPromptTokens: number | undefined;
 
-  constructor(source: PoolSource) {
-    const { replicas, memory, ledger } = source;
+  constructor(options: PoolSnapshotOptions) {
+    const { replicas, memory, ledger } = options;
     this.replicas = replicas;
     this.memory = memory;
     this.#ledger = ledger;
-    this.#hasRoom = (incarnation) => source.hasRoom(incarnation);
-    this.decodes = replicas.filter((r) => r.stage === ReplicaStage.decode);
-    this.prefills = replicas.filter((r) => r.stage === ReplicaStage.prefill);
-    const sound = this.decodes.filter((r) => !source.isPaused(r.incarnation));
-    this.soundDecodes = sound.length > 0 ? sound : this.decodes;
-    this.soundPrefills = this.prefills.filter(({ incarnation }) =>
-      !source.isPaused(incarnation) && !source.isAvoided(incarnation)
+    this.#hasRoom = (incarnation) => options.hasRoom(incarnation);
+    this.decodes = replicas.filter((replica) =>
+      replica.stage === ReplicaStage.decode
+    );
+    this.prefills = replicas.filter((replica) =>
+      replica.stage === ReplicaStage.prefill
+    );
+    const healthy = this.decodes.filter((replica) =>
+      !options.isPaused(replica.incarnation)
+    );
+    this.healthyDecodes = healthy.length > 0 ? healthy : this.decodes;
+    this.healthyPrefills = this.prefills.filter(({ incarnation }) =>
+      !options.isPaused(incarnation) && !options.isAvoided(incarnation)
+    );
+    const limits = this.decodes.map((replica) =>
+      options.limitOf(replica.incarnation)
     );
-    const limits = this.decodes.map((r) => source.limitOf(r.incarnation));
     this.startRate = limits.length === 0
       ? Infinity
-      : limits.reduce<number>((sum, one) => sum + (one ?? Infinity), 0);
-    const free = this.decodes.filter((_, at) => limits[at] === undefined);
-    this.#awaited = free.length > 0 ? free : this.decodes;
-    this.line = usualLine(ledger, this.prefills);
-    this.readingRate = readingRate(ledger, this.prefills);
+      : limits.reduce<number>((sum, limit) => sum + (limit ?? Infinity), 0);
+    const unlimited = this.decodes.filter((_, index) =>
+      limits[index] === undefined
+    );
+    this.#forecastDecodes = unlimited.length > 0 ? unlimited : this.decodes;
+    this.prefillLine = fastestLine(ledger, this.prefills);
+    this.prefillRate = totalPrefillRate(ledger, this.prefills);
   }
 
   /** Time from a grant to the end of a prefill, if the replica is idle. */
   prefillMs(promptTokens: number): Milliseconds {
-    return this.line.base + this.line.slope * promptTokens;
+    return this.prefillLine.base + this.prefillLine.slope * promptTokens;
   }
 
-  /** Sound prefill replicas whose limits have room. */
-  get readers(): readonly ReplicaEntry[] {
-    this.#readers ??= this.soundPrefills
-      .filter((one) => this.#hasRoom(one.incarnation));
-    return this.#readers;
+  /** Healthy prefill replicas whose limits have room. */
+  get availablePrefills(): readonly ReplicaEntry[] {
+    this.#availablePrefills ??= this.healthyPrefills
+      .filter((replica) => this.#hasRoom(replica.incarnation));
+    return this.#availablePrefills;
   }
 
-  /** Memory of the decode replicas that are waited for, in tokens. */
-  get awaitedMemory(): number {
-    return this.memory * this.#awaited.length;
+  /** Memory of the decode replicas for which waits are forecast, in tokens. */
+  get forecastMemory(): number {
+    return this.memory * this.#forecastDecodes.length;
   }
 
-  /** Memory given away at them, in tokens. */
-  get held(): number {
-    this.#held ??= this.#awaited.reduce(
-      (sum, one) => sum + this.#ledger.memoryAt(one.incarnation),
+  /** Tokens reserved at the decode replicas for which waits are forecast. */
+  get forecastReserved(): number {
+    this.#forecastReserved ??= this.#forecastDecodes.reduce(
+      (sum, replica) =>
+        sum + this.#ledger.reservedTokensAt(replica.incarnation),
       0,
     );
-    return this.#held;
+    return this.#forecastReserved;
   }
 
-  /** Prompt tokens that the prefill replicas read before the next one's. */
-  get promptsBefore(): number {
-    this.#promptsGiven ??= this.prefills.reduce(
-      (sum, one) => sum + this.#ledger.promptsAt(one.incarnation),
+  /**
+   * Prompt tokens that the prefill replicas process before the next request's.
+   */
+  get pendingPromptTokens(): number {
+    this.#assignedPromptTokens ??= this.prefills.reduce(
+      (sum, replica) => sum + this.#ledger.backlogAt(replica.incarnation),
       0,
     );
-    return this.#promptsGiven + this.ahead.promptTokens;
+    return this.#assignedPromptTokens + this.ahead.promptTokens;
   }
 
   /** Whether the ledger shows room for the request at any healthy decode replica. */
   mayFit(tokens: number): boolean {
     this.#largestFree ??= Math.max(
       0,
-      ...this.soundDecodes.map((one) => this.#freeAt(one)),
+      ...this.healthyDecodes.map((replica) => this.#freeAt(replica)),
     );
     return tokens <= this.#largestFree;
   }
 
-  /** An idle replica takes any request, also one larger than its memory. */
+  /** An idle replica accepts any request, even one larger than its memory. */
   #freeAt({ incarnation }: ReplicaEntry): number {
-    const held = this.#ledger.memoryAt(incarnation);
-    return held > 0 ? this.memory - held : Infinity;
+    const reserved = this.#ledger.reservedTokensAt(incarnation);
+    return reserved > 0 ? this.memory - reserved : Infinity;
   }
 
-  /** A place was granted: sums that were cached are invalid. */
+  /** Invalidates the cached sums after a grant. */
   noteGrant(): void {
-    this.#readers = undefined;
+    this.#availablePrefills = undefined;
     this.#largestFree = undefined;
-    this.#held = undefined;
-    this.#promptsGiven = undefined;
+    this.#forecastReserved = undefined;
+    this.#assignedPromptTokens = undefined;
   }
 
-  /** The request stays in the queue, ahead of those that follow. */
-  noteWaiting(waits: {
+  /** Counts a request that stays in the queue, ahead of those that follow. */
+  noteWaiting(request: {
     readonly tokens: number;
     readonly promptTokens: number;
     readonly priority: number;
   }): void {
     this.ahead.requests += 1;
-    this.ahead.tokens += waits.tokens;
-    this.ahead.promptTokens += waits.promptTokens;
-    this.waitingPriority = Math.min(this.waitingPriority, waits.priority);
+    this.ahead.tokens += request.tokens;
+    this.ahead.promptTokens += request.promptTokens;
+    this.mostUrgentWaiting = Math.min(this.mostUrgentWaiting, request.priority);
   }
 }
--- a/src/gateway/planning/prompt_memory.ts
+++ b/src/gateway/planning/prompt_memory.ts
@@ -1,58 +1,61 @@
 /**
- * Where prompts were read lately. A replica keeps what it has read until it
- * needs the memory, so a request that comes back is cheapest served there.
+ * Tracks where prompts were prefilled recently. A replica caches a prompt until
+ * it needs the memory, so a retry is served cheapest there.
  */
 import type { Milliseconds } from "../../util/units.ts";
 
 /**
- * A decode replica is believed to keep a prompt for so long after it was read:
- * about the time of the longest answers.
+ * How long a decode replica is assumed to cache a prompt: about the duration of
+ * the longest responses.
  */
-const DECODE_KEEPS_MS = 9000;
-/** A prefill replica reads a memory full of prompts in little over a second. */
-const PREFILL_KEEPS_MS = 1200;
-/** Prompts that are remembered at most. */
-const MOST_PROMPTS = 2000;
-
-/** Replicas that keep a prompt, by incarnation. */
-export type PromptPlace = {
+const DECODE_TTL_MS = 9000;
+/**
+ * How long a prefill replica is assumed to cache a prompt: it fills its whole
+ * memory with prompts in little over a second.
+ */
+const PREFILL_TTL_MS = 1200;
+/** Maximum number of prompts in the table. */
+const MAX_PROMPTS = 2000;
+
+/** Replicas that have a prompt cached, by incarnation. */
+export type PromptLocation = {
   readonly decode: string;
-  /** Absent when the decode replica read the prompt itself. */
+  /** Absent after a local prefill. */
   readonly prefill?: string;
 };
 
-type Remembered = PromptPlace & { readonly readAt: Milliseconds };
+type TimedLocation = PromptLocation & { readonly prefilledAt: Milliseconds };
 
-/** Prompts by the name that all attempts of a request share. */
-export class PromptMemory {
-  readonly #prompts = new Map<string, Remembered>();
+/** Prompts by the key that all attempts of a request share. */
+export class PromptLocations {
+  readonly #locations = new Map<string, TimedLocation>();
 
-  /** The prompt was read; an empty key names none. */
-  note(key: string, place: PromptPlace, now: Milliseconds): void {
+  /** Records a prefill; an empty key is ignored. */
+  note(key: string, location: PromptLocation, now: Milliseconds): void {
     if (key === "") return;
-    this.#prompts.delete(key);
-    this.#prompts.set(key, { ...place, readAt: now });
-    if (this.#prompts.size <= MOST_PROMPTS) return;
-    const oldest = this.#prompts.keys().next();
-    if (!oldest.done) this.#prompts.delete(oldest.value);
+    this.#locations.delete(key);
+    this.#locations.set(key, { ...location, prefilledAt: now });
+    if (this.#locations.size <= MAX_PROMPTS) return;
+    const oldest = this.#locations.keys().next();
+    if (!oldest.done) this.#locations.delete(oldest.value);
   }
 
-  /** No replica is known to keep the prompt. */
+  /** Removes the prompt from the table. */
   forget(key: string): void {
-    this.#prompts.delete(key);
+    this.#locations.delete(key);
   }
 
-  /** The decode replica that probably keeps the prompt. */
+  /** The decode replica that probably has the prompt cached. */
   decodeOf(key: string, now: Milliseconds): string | undefined {
-    const known = this.#prompts.get(key);
-    if (!known || now - known.readAt > DECODE_KEEPS_MS) return undefined;
+    const known = this.#locations.get(key);
+    if (!known || now - known.prefilledAt > DECODE_TTL_MS) return undefined;
     return known.decode;
   }
 
-  /** The prefill replica that probably keeps the prompt. */
+  /** The prefill replica that probably has the prompt cached. */
   prefillOf(key: string, now: Milliseconds): string | undefined {
-    const known = this.#prompts.get(key);
-    if (!known || now - known.readAt > PREFILL_KEEPS_MS) return undefined;
+    const known = this.#locations.get(key);
+    if (!known || now - known.prefilledAt > PREFILL_TTL_MS) return undefined;
     return known.prefill;
   }
 }
--- a/src/gateway/planning/rate_share.ts
+++ b/src/gateway/planning/rate_share.ts
@@ -1,93 +1,104 @@
 /**
- * Shares the rate of a service whose replicas all limit their requests: the
- * urgent go first, and those that are refused come back one after the other.
+ * Shares the rate of a service whose replicas all limit their requests: more
+ * urgent requests go first, and refused requests get retry times one after the
+ * other.
  */
 import type { Milliseconds } from "../../util/units.ts";
-import { RecentSum } from "./recent_sum.ts";
+import { DecayingSum } from "./recent_sum.ts";
 
-/** Rates are those of about this time. */
-const RECENT_MS = 4000;
+/** Time constant of the measured rates. */
+const RATE_WINDOW_MS = 4000;
 /**
- * Part of the rate that the less urgent have however many more urgent requests
- * come, so that no kind of request gets nothing at all.
+ * Share of the rate that is left to less urgent requests however many more
+ * urgent ones arrive, so that no priority is starved.
  */
-const LEAST_SHARE = 0.1;
+const MIN_SHARE = 0.1;
 /**
- * Callers that are refused together come back over this part of the longest
- * time that they heed.
+ * Retry times beyond the longest accepted delay are spread over this share of
+ * it.
  */
-const SPREAD = 0.33;
+const RETRY_JITTER = 0.33;
 
 /** A request that is refused. */
-export type RefusedAsk = {
-  /** Requests a second that the service takes. */
+export type RateRefusal = {
+  /** Requests per second that the service accepts. */
   readonly perSecond: number;
-  /** Time until a replica takes a request again. */
-  readonly soonestMs: Milliseconds;
-  /** Longest time to come back that its caller heeds. */
+  /** Time until a replica accepts a request again. */
+  readonly minWaitMs: Milliseconds;
+  /** Longest retry delay that its caller accepts. */
   readonly longestRetryMs: Milliseconds;
 };
 
-/** The rate of one service. */
+/** Tracks the request rate of one service. */
 export class RateShare {
   readonly #random: () => number;
-  /** Requests that asked, and that were given a place, by priority. */
-  readonly #asked = new Map<number, RecentSum>();
-  readonly #given = new Map<number, RecentSum>();
-  /** When the last one that was refused comes back. */
-  #promisedAt: Milliseconds = 0;
+  /** Requests received and requests granted, by priority. */
+  readonly #requested = new Map<number, DecayingSum>();
+  readonly #granted = new Map<number, DecayingSum>();
+  /** Retry time of the last request that was refused. */
+  #lastRetryAt: Milliseconds = 0;
 
   constructor(random: () => number) {
     this.#random = random;
   }
 
-  /** A request asks for a place. */
-  noteAsk(priority: number, now: Milliseconds): void {
-    sumOf(this.#asked, priority).add(1, now, RECENT_MS);
+  /** Counts a request for an assignment. */
+  noteRequest(priority: number, now: Milliseconds): void {
+    sumOf(this.#requested, priority).add(1, now, RATE_WINDOW_MS);
   }
 
-  /** A request is given a place. */
+  /** Counts a request that was granted an assignment. */
   noteGrant(priority: number, now: Milliseconds): void {
-    sumOf(this.#given, priority).add(1, now, RECENT_MS);
+    sumOf(this.#granted, priority).add(1, now, RATE_WINDOW_MS);
   }
 
-  /** Whether more urgent requests leave some of the rate to the priority. */
-  mayTake(priority: number, perSecond: number, now: Milliseconds): boolean {
-    const urgent = rateOf(this.#asked, (one) => one < priority, now);
-    if (urgent === 0) return true;
-    const left = Math.max(perSecond * LEAST_SHARE, perSecond - urgent);
-    return rateOf(this.#given, (one) => one >= priority, now) < left;
+  /** Whether more urgent requests leave a part of the rate to the priority. */
+  mayGrant(priority: number, perSecond: number, now: Milliseconds): boolean {
+    const moreUrgent = rateOf(
+      this.#requested,
+      (other) => other < priority,
+      now,
+    );
+    if (moreUrgent === 0) return true;
+    const available = Math.max(perSecond * MIN_SHARE, perSecond - moreUrgent);
+    return rateOf(this.#granted, (other) => other >= priority, now) < available;
   }
 
-  /** When a refused request is to come back: each has a turn of its own. */
-  comeBackMs(refused: RefusedAsk, now: Milliseconds): Milliseconds {
-    const { perSecond, soonestMs, longestRetryMs } = refused;
-    const at = Math.max(now + soonestMs, this.#promisedAt + 1000 / perSecond);
-    if (at > now + longestRetryMs) {
-      return longestRetryMs * (1 - this.#random() * SPREAD);
+  /**
+   * The retry delay of a refused request; retry times are one request interval
+   * apart.
+   */
+  retryAfterMs(refusal: RateRefusal, now: Milliseconds): Milliseconds {
+    const { perSecond, minWaitMs, longestRetryMs } = refusal;
+    const retryAt = Math.max(
+      now + minWaitMs,
+      this.#lastRetryAt + 1000 / perSecond,
+    );
+    if (retryAt > now + longestRetryMs) {
+      return longestRetryMs * (1 - this.#random() * RETRY_JITTER);
     }
-    this.#promisedAt = at;
-    return at - now;
+    this.#lastRetryAt = retryAt;
+    return retryAt - now;
   }
 }
 
-function sumOf(sums: Map<number, RecentSum>, priority: number): RecentSum {
+function sumOf(sums: Map<number, DecayingSum>, priority: number): DecayingSum {
   const known = sums.get(priority);
   if (known) return known;
-  const sum = new RecentSum();
+  const sum = new DecayingSum();
   sums.set(priority, sum);
   return sum;
 }
 
-/** Requests a second of the priorities that `isMeant` picks. */
+/** Requests per second of the priorities that match. */
 function rateOf(
-  sums: ReadonlyMap<number, RecentSum>,
-  isMeant: (priority: number) => boolean,
+  sums: ReadonlyMap<number, DecayingSum>,
+  matches: (priority: number) => boolean,
   now: Milliseconds,
 ): number {
   let sum = 0;
-  for (const [priority, one] of sums) {
-    if (isMeant(priority)) sum += one.at(now, RECENT_MS);
+  for (const [priority, recent] of sums) {
+    if (matches(priority)) sum += recent.at(now, RATE_WINDOW_MS);
   }
-  return sum / (RECENT_MS / 1000);
+  return sum / (RATE_WINDOW_MS / 1000);
 }
--- a/src/gateway/planning/recent_sum.ts
+++ b/src/gateway/planning/recent_sum.ts
@@ -1,19 +1,18 @@
-/** How much arrived lately: a sum in which each amount fades with time. */
+/** A sum in which each amount decays exponentially with time. */
 import type { Milliseconds } from "../../util/units.ts";
 
-/** A decaying sum. */
-export class RecentSum {
+export class DecayingSum {
   #sum = 0;
-  #at: Milliseconds = 0;
+  #updatedAt: Milliseconds = 0;
 
-  /** So much arrived; `fadeMs`: the time in which it falls to 1/e. */
-  add(amount: number, now: Milliseconds, fadeMs: Milliseconds): void {
-    this.#sum = this.at(now, fadeMs) + amount;
-    this.#at = now;
+  /** Adds an amount; `decayMs` is the time in which it decays to 1/e. */
+  add(amount: number, now: Milliseconds, decayMs: Milliseconds): void {
+    this.#sum = this.at(now, decayMs) + amount;
+    this.#updatedAt = now;
   }
 
-  /** What is left of all amounts at `now`. */
-  at(now: Milliseconds, fadeMs: Milliseconds): number {
-    return this.#sum * Math.exp((this.#at - now) / fadeMs);
+  /** The sum of all amounts, decayed until `now`. */
+  at(now: Milliseconds, decayMs: Milliseconds): number {
+    return this.#sum * Math.exp((this.#updatedAt - now) / decayMs);
   }
 }
--- a/src/gateway/planning/stage_load.ts
+++ b/src/gateway/planning/stage_load.ts
@@ -1,9 +1,9 @@
-/** How busy the stages of a service are, by what was given away. */
+/** Computes the utilization of a service's stages from the planner's ledger. */
 import { type ReplicaEntry, ReplicaStage } from "../replicas/model.ts";
 import type { Ledger } from "./ledger.ts";
 import type { StageLoad } from "./view.ts";
 
-/** The load of both stages, from 0 to 1. */
+/** The utilization of both stages, from 0 to 1. */
 export function stageLoad(
   ledger: Ledger,
   service: {
@@ -16,26 +16,30 @@
 ): StageLoad {
   const { replicas, hasRoom } = service;
   const memory = Math.max(1, service.memory);
-  const prefills = replicas.filter((r) => r.stage === ReplicaStage.prefill);
-  const decodes = replicas.filter((r) => r.stage === ReplicaStage.decode);
+  const prefills = replicas.filter((replica) =>
+    replica.stage === ReplicaStage.prefill
+  );
+  const decodes = replicas.filter((replica) =>
+    replica.stage === ReplicaStage.decode
+  );
   return {
     prefill: mean(
       prefills.map(({ incarnation }) =>
-        ledger.promptsAt(incarnation) > 0 || !hasRoom(incarnation) ? 1 : 0
+        ledger.backlogAt(incarnation) > 0 || !hasRoom(incarnation) ? 1 : 0
       ),
     ),
     decode: mean(
       decodes.map(({ incarnation }) =>
         hasRoom(incarnation)
-          ? Math.min(1, ledger.memoryAt(incarnation) / memory)
+          ? Math.min(1, ledger.reservedTokensAt(incarnation) / memory)
           : 1
       ),
     ),
   };
 }
 
-/** The mean; 0 of nothing. */
+/** The mean; 0 if there are no values. */
 function mean(values: readonly number[]): number {
   if (values.length === 0) return 0;
-  return values.reduce((sum, one) => sum + one, 0) / values.length;
+  return values.reduce((sum, value) => sum + value, 0) / values.length;
 }
--- a/src/gateway/planning/urgency.ts
+++ b/src/gateway/planning/urgency.ts
@@ -1,17 +1,17 @@
-/** The priorities of the requests that a service received recently. */
+/** Tracks the priorities of the requests that a service received recently. */
 import type { Milliseconds } from "../../util/units.ts";
 
 /**
- * A priority counts as present for this long after its last request: twice the
- * interval of a kind of request that comes once a second.
+ * How long after its last request a priority counts as present: covers kinds of
+ * requests that arrive once per second.
  */
-const PRESENT_MS = 2000;
+const RECENT_MS = 2000;
 
-/** The last request of each priority, by service. */
-export class Urgency {
+/** Time of the last request of each priority, by service. */
+export class RecentPriorities {
   readonly #lastAt = new Map<string, Map<number, Milliseconds>>();
 
-  /** A request of that priority came. */
+  /** Records a request. */
   note(service: string, priority: number, now: Milliseconds): void {
     const known = this.#lastAt.get(service);
     if (known) known.set(priority, now);
@@ -25,7 +25,7 @@
     now: Milliseconds,
   ): boolean {
     for (const [other, at] of this.#lastAt.get(service) ?? []) {
-      if (other < priority && now - at <= PRESENT_MS) return true;
+      if (other < priority && now - at <= RECENT_MS) return true;
     }
     return false;
   }
--- a/src/gateway/planning/view.ts
+++ b/src/gateway/planning/view.ts
@@ -1,34 +1,37 @@
-/** What a planner sees, and what it tells. */
+/** The planner's interface to the fleet, and its results. */
 import type { Milliseconds } from "../../util/units.ts";
 import type { ReplicaEntry } from "../replicas/model.ts";
 import type { PlannerMessage } from "./messages.ts";
 
-/** What a planner sees of the fleet. */
+/** What a planner reads of the fleet, and the outcomes that it reports. */
 export type PlannerView = {
-  /** Replicas of a service that take new work. */
+  /** Replicas of a service that accept new work. */
   replicasOf(service: string): readonly ReplicaEntry[];
-  /** Memory of one decode replica of the service, in tokens. */
+  /**
+   * Memory of one decode replica of the service, in tokens; 0 for a plain
+   * service.
+   */
   memoryOf(service: string): number;
-  /** A replica that fails is given nothing. */
+  /** Whether the replica failed recently and gets no new work. */
   isPaused(incarnation: string): boolean;
-  /** Requests a second that a replica takes; undefined: any number. */
+  /** Requests per second that a replica accepts; undefined: no limit. */
   limitOf(incarnation: string): number | undefined;
-  /** A host had no use of a replica that it was sent to. */
+  /** Reports that a replica failed a request that it was assigned. */
   noteFailure(incarnation: string, now: Milliseconds): void;
-  /** A host is sent to a replica. */
+  /** Reports that a request is assigned to a replica. */
   noteTry(incarnation: string, now: Milliseconds): void;
-  /** A replica did what a host asked of it. */
+  /** Reports that a replica completed a prefill or a request. */
   noteSuccess(incarnation: string): void;
   /** In [0, 1). */
   random(): number;
-  /** What another hall counts as, as a share of a replica's memory. */
+  /** Cost of a replica in another hall, as a share of a replica's memory. */
   readonly farCharge: number;
 };
 
-/** How busy a service's stages are: shares of replicas and of memory. */
+/** Utilization of a service's stages: shares of replicas and of memory. */
 export type StageLoad = { readonly prefill: number; readonly decode: number };
 
-/** An answer on its way to a host. */
+/** A message to send to a host. */
 export type PlannerAnswer = {
   readonly to: string;
   readonly message: PlannerMessage;
--- a/test/gateway/planning/limits_test.ts
+++ b/test/gateway/planning/limits_test.ts
@@ -1,9 +1,9 @@
-/** What a planner does about replicas that limit their requests. */
+/** Planning for replicas with a rate limit. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { LimitPace } from "../../../src/gateway/planning/limit_pace.ts";
+import { RequestPacer } from "../../../src/gateway/planning/limit_pace.ts";
 import {
-  PlaceStage,
+  AssignmentStage,
   type PlanAsk,
   type PlannerMessage,
 } from "../../../src/gateway/planning/messages.ts";
@@ -11,14 +11,14 @@
 import { RateShare } from "../../../src/gateway/planning/rate_share.ts";
 import type { PlannerView } from "../../../src/gateway/planning/view.ts";
 import { replicaEntry } from "../replica_entry.ts";
-import { ask, messages, view } from "./planner_rig.ts";
+import { messages, planRequest, view } from "./planner_rig.ts";
 
 const PLAIN = { tokens: 1, promptTokens: 0, longestRetryMs: 20_000 };
 
-type Limits = Readonly<Record<string, number>>;
+type LimitsByReplica = Readonly<Record<string, number>>;
 
 /** Plain replicas "a", "b" and "c", some with limits. */
-function plainView(limits: Limits): PlannerView {
+function plainView(limits: LimitsByReplica): PlannerView {
   return view({
     replicasOf: () => ["a", "b", "c"].map((id) => replicaEntry(id)),
     memoryOf: () => 0,
@@ -26,12 +26,14 @@
   });
 }
 
-function plainAsk(id: string, change: Partial<PlanAsk> = {}): PlanAsk {
-  return ask(id, { ...PLAIN, ...change });
+function plainRequest(id: string, overrides: Partial<PlanAsk> = {}): PlanAsk {
+  return planRequest(id, { ...PLAIN, ...overrides });
 }
 
 function decodesOf(answers: readonly PlannerMessage[]): string[] {
-  return answers.flatMap((one) => one.type === "grant" ? [one.decode] : []);
+  return answers.flatMap((message) =>
+    message.type === "grant" ? [message.decode] : []
+  );
 }
 
 function isRefused(
@@ -40,204 +42,239 @@
   return message?.type === "refusal";
 }
 
-/** Asks one by one, each of which ends at once. */
-function play(
+/** Enqueues requests one by one; granted requests end at once. */
+function simulate(
   planner: Planner,
-  { spanMs, everyMs, priorityOf }: {
+  { spanMs, intervalMs, priorityOf }: {
     readonly spanMs: number;
-    readonly everyMs: number;
-    readonly priorityOf: (at: number) => number;
+    readonly intervalMs: number;
+    readonly priorityOf: (index: number) => number;
   },
 ): { readonly granted: PlanAsk[]; readonly refused: number[] } {
   const granted: PlanAsk[] = [];
   const refused: number[] = [];
-  for (let at = 0; at * everyMs < spanMs; at++) {
-    const now = at * everyMs;
-    const asked = plainAsk(`r${at}`, { priority: priorityOf(at) });
-    planner.enqueue("h", asked, now);
-    for (const one of messages(planner, now)) {
-      if (isRefused(one)) refused.push(now + (one.retryAfterMs ?? 0));
-      if (one.type !== "grant") continue;
-      granted.push(asked);
-      const stage = PlaceStage.answered;
-      planner.report({ type: "progress", id: one.id, stage }, now);
+  for (let index = 0; index * intervalMs < spanMs; index++) {
+    const now = index * intervalMs;
+    const request = plainRequest(`r${index}`, { priority: priorityOf(index) });
+    planner.enqueue("h", request, now);
+    for (const message of messages(planner, now)) {
+      if (isRefused(message)) refused.push(now + (message.retryAfterMs ?? 0));
+      if (message.type !== "grant") continue;
+      granted.push(request);
+      const stage = AssignmentStage.answered;
+      planner.report({ type: "progress", id: message.id, stage }, now);
     }
   }
   return { granted, refused };
 }
 
-test("a limited replica gets its pace, the others the rest", () => {
+test("paces a limited replica and gives the other requests to the others", () => {
   const planner = new Planner(plainView({ a: 1 }));
-  for (let at = 0; at < 12; at++) planner.enqueue("h", plainAsk(`r${at}`), 0);
-  const given = decodesOf(messages(planner, 0));
-  assert.equal(given.length, 12);
-  assert.equal(given.filter((one) => one === "a").length, 2);
+  for (let index = 0; index < 12; index++) {
+    planner.enqueue("h", plainRequest(`r${index}`), 0);
+  }
+  const decodes = decodesOf(messages(planner, 0));
+  assert.equal(decodes.length, 12);
+  assert.equal(decodes.filter((decode) => decode === "a").length, 2);
 });
 
-test("what an owner refused keeps the replica closed until it has room", () => {
+test("gives a replica no request until the limit that refused has room", () => {
   const planner = new Planner(plainView({ a: 1, b: 1, c: 1 }));
-  planner.enqueue("h", plainAsk("first"), 0);
+  planner.enqueue("h", plainRequest("first"), 0);
   const [first] = decodesOf(messages(planner, 0));
   const refused = {
     type: "progress" as const,
     id: "first",
-    stage: PlaceStage.refused,
+    stage: AssignmentStage.refused,
     retryAfterMs: 700,
   };
   planner.report(refused, 10);
-  for (let at = 0; at < 9; at++) planner.enqueue("h", plainAsk(`r${at}`), 20);
+  for (let index = 0; index < 9; index++) {
+    planner.enqueue("h", plainRequest(`r${index}`), 20);
+  }
   const second = messages(planner, 20);
   assert.ok(!decodesOf(second).includes(first ?? ""));
-  planner.enqueue("h", plainAsk("late"), 720);
+  planner.enqueue("h", plainRequest("late"), 720);
   assert.equal(decodesOf(messages(planner, 720)).length, 1);
 });
 
-test("where all replicas are limited the rest is told at once when to come back, one after the other", () => {
+test("refuses at once what exceeds the rate of limited replicas, with retry times one after the other", () => {
   const limits = { a: 1, b: 1, c: 1 };
-  const { granted, refused } = play(new Planner(plainView(limits)), {
+  const { granted, refused } = simulate(new Planner(plainView(limits)), {
     spanMs: 10_000,
-    everyMs: 100,
+    intervalMs: 100,
     priorityOf: () => 1,
   });
-  // The owners of the limits hold the rate; the planner's pace is twice that.
+  // The owners of the limits enforce the rate; the planner's pace is twice
+  // that.
   assert.ok(granted.length >= 30 && granted.length <= 70);
   assert.equal(granted.length + refused.length, 100);
-  const gaps = refused.slice(1).map((at, index) => at - (refused[index] ?? 0));
+  const gaps = refused.slice(1).map((retryAt, index) =>
+    retryAt - (refused[index] ?? 0)
+  );
   assert.ok(gaps.every((gap) => gap >= 1000 / 3 - 1e-6));
 });
 
-test("a refusal says that it is for the limits", () => {
+test("marks a refusal that is due to the limits", () => {
   const planner = new Planner(plainView({ a: 0, b: 0, c: 0 }));
-  for (let at = 0; at < 7; at++) planner.enqueue("h", plainAsk(`r${at}`), 0);
+  for (let index = 0; index < 7; index++) {
+    planner.enqueue("h", plainRequest(`r${index}`), 0);
+  }
   const refused = messages(planner, 0).filter(isRefused);
   assert.equal(refused.length, 1);
-  const [one] = refused;
-  assert.equal(one?.reason, "busy");
-  assert.equal(one?.basis.isLimited, true);
-  assert.ok((one?.retryAfterMs ?? 0) > 0);
+  const [refusal] = refused;
+  assert.equal(refusal?.reason, "busy");
+  assert.equal(refusal?.basis.isLimited, true);
+  assert.ok((refusal?.retryAfterMs ?? 0) > 0);
 });
 
-test("the more urgent go first where the rate is not enough for all", () => {
+test("grants more urgent requests first when the rate is exceeded", () => {
   const limits = { a: 0.5, b: 0.5, c: 0.5 };
   const planner = new Planner(plainView(limits));
-  // Of ten requests a second one is urgent.
-  const { granted } = play(planner, {
+  // One of ten requests per second is urgent.
+  const { granted } = simulate(planner, {
     spanMs: 30_000,
-    everyMs: 100,
-    priorityOf: (at) => at % 10 === 0 ? 0 : 2,
+    intervalMs: 100,
+    priorityOf: (index) => index % 10 === 0 ? 0 : 2,
   });
-  const urgent = granted.filter((one) => one.priority === 0).length;
+  const urgent = granted.filter((request) => request.priority === 0).length;
   assert.ok(urgent >= 28, `${urgent} of 30 urgent requests`);
-  assert.ok(granted.length > urgent, "the others get what is left");
+  assert.ok(granted.length > urgent, "the less urgent requests get the rest");
 });
 
-test("a share leaves to the less urgent what the urgent don't ask for", () => {
+test("leaves the rate that more urgent requests don't use to less urgent ones", () => {
   const share = new RateShare(() => 0);
-  assert.ok(share.mayTake(2, 1, 0));
-  for (let at = 0; at < 40; at++) share.noteAsk(0, at * 100);
-  assert.ok(share.mayTake(0, 1, 4000));
+  assert.ok(share.mayGrant(2, 1, 0));
+  for (let index = 0; index < 40; index++) share.noteRequest(0, index * 100);
+  assert.ok(share.mayGrant(0, 1, 4000));
   // A tenth of the rate is left to them.
-  assert.ok(share.mayTake(2, 1, 4000));
+  assert.ok(share.mayGrant(2, 1, 4000));
   share.noteGrant(2, 4000);
-  assert.ok(!share.mayTake(2, 1, 4000));
-  assert.ok(share.mayTake(2, 100, 4000));
+  assert.ok(!share.mayGrant(2, 1, 4000));
+  assert.ok(share.mayGrant(2, 100, 4000));
 });
 
-test("a caller that heeds no long wait is told the longest, spread out", () => {
+test("spreads the retry times of callers that accept only short delays", () => {
   const share = new RateShare(() => 0.5);
-  const told = Array.from(
+  const delays = Array.from(
     { length: 20 },
     () =>
-      share.comeBackMs({ perSecond: 1, soonestMs: 0, longestRetryMs: 3000 }, 0),
+      share.retryAfterMs(
+        { perSecond: 1, minWaitMs: 0, longestRetryMs: 3000 },
+        0,
+      ),
   );
-  assert.ok(told.every((one) => one <= 3000));
-  assert.equal(new Set(told.slice(0, 3)).size, 3);
+  assert.ok(delays.every((delay) => delay <= 3000));
+  assert.equal(new Set(delays.slice(0, 3)).size, 3);
 });
 
-test("a refusal for a limit that has ended, or isn't known yet, holds for little", () => {
+test("applies a refusal only briefly when the limit has ended or isn't known yet", () => {
   let limit: number | undefined = 1;
-  const pace = new LimitPace(() => limit);
-  pace.noteRefusal("a", { retryAfterMs: 10_000 }, 0);
-  assert.equal(pace.waitMs("a", 0), 10_000);
+  const pacer = new RequestPacer(() => limit);
+  pacer.noteFull("a", { retryAfterMs: 10_000 }, 0);
+  assert.equal(pacer.waitMs("a", 0), 10_000);
   limit = undefined;
-  assert.equal(pace.waitMs("a", 0), 500);
-  assert.equal(pace.waitMs("a", 500), 0);
+  assert.equal(pacer.waitMs("a", 0), 500);
+  assert.equal(pacer.waitMs("a", 500), 0);
 });
 
-/** Two replicas that decode and one that reads prompts, some with limits. */
-function engineView(limits: Limits, failures: string[] = []): PlannerView {
+/** Two decode replicas and one prefill replica, some with limits. */
+function engineView(
+  limits: LimitsByReplica,
+  failures: string[] = [],
+): PlannerView {
   return view({
     limitOf: (incarnation) => limits[incarnation],
     noteFailure: (incarnation) => void failures.push(incarnation),
   });
 }
 
-test("a limited decode replica takes its pace, and no request waits for more", () => {
+test("paces a limited decode replica while the other replica has room", () => {
   const planner = new Planner(engineView({ d1: 0.5 }));
-  for (let at = 0; at < 6; at++) {
-    planner.enqueue("h", ask(`r${at}`, { tokens: 100, promptTokens: 1 }), 0);
+  for (let index = 0; index < 6; index++) {
+    planner.enqueue(
+      "h",
+      planRequest(`r${index}`, { tokens: 100, promptTokens: 1 }),
+      0,
+    );
   }
-  const given = decodesOf(messages(planner, 0));
-  assert.equal(given.filter((one) => one === "d1").length, 2);
-  assert.equal(given.filter((one) => one === "d2").length, 4);
+  const decodes = decodesOf(messages(planner, 0));
+  assert.equal(decodes.filter((decode) => decode === "d1").length, 2);
+  assert.equal(decodes.filter((decode) => decode === "d2").length, 4);
 });
 
-test("where all decode replicas are limited, what can't begin in time is refused at once", () => {
+test("refuses requests at once that can't start in time when all decode replicas are limited", () => {
   const planner = new Planner(engineView({ d1: 0.2, d2: 0.2 }));
-  for (let at = 0; at < 12; at++) {
-    planner.enqueue("h", ask(`r${at}`, { tokens: 10, promptTokens: 1 }), 0);
+  for (let index = 0; index < 12; index++) {
+    planner.enqueue(
+      "h",
+      planRequest(`r${index}`, { tokens: 10, promptTokens: 1 }),
+      0,
+    );
   }
   const answers = messages(planner, 0);
   const refused = answers.filter(isRefused);
   assert.equal(decodesOf(answers).length, 4);
-  // At 0.4 a second one more can begin within the callers' 3 s.
+  // At 0.4 per second, one more can start within the callers' 3 s.
   assert.equal(refused.length, 7);
-  assert.ok(refused.every((one) => one.basis.isLimited === true));
+  assert.ok(refused.every((refusal) => refusal.basis.isLimited === true));
   assert.equal(planner.waiting, 1);
 });
 
-test("prompts wait for a limited prefill replica, and then are read by the decode", () => {
+test("queues prefills for a limited replica, then falls back to local prefill", () => {
   const failures: string[] = [];
   const planner = new Planner(engineView({ p1: 0.2 }, failures));
   for (const id of ["a", "b", "c"]) {
-    planner.enqueue("h", ask(id, { tokens: 10, promptTokens: 1 }), 0);
+    planner.enqueue("h", planRequest(id, { tokens: 10, promptTokens: 1 }), 0);
   }
-  const [a, b, ...more] = messages(planner, 0);
-  assert.deepEqual([a, b].map((one) => one?.type === "grant" && one.prefill), [
-    "p1",
-    "p1",
-  ]);
-  assert.equal(more.length, 0);
-  const stage = PlaceStage.prefillLimited;
-  const word = { type: "progress" as const, id: "b", stage };
-  planner.report({ ...word, retryAfterMs: 9000 }, 10);
+  const [a, b, ...others] = messages(planner, 0);
+  assert.deepEqual(
+    [a, b].map((message) => message?.type === "grant" && message.prefill),
+    ["p1", "p1"],
+  );
+  assert.equal(others.length, 0);
+  const stage = AssignmentStage.prefillLimited;
+  const progress = { type: "progress" as const, id: "b", stage };
+  planner.report({ ...progress, retryAfterMs: 9000 }, 10);
   const [c] = messages(planner, 300);
   assert.ok(c?.type === "grant" && c.prefill === undefined);
   assert.deepEqual(failures, []);
 });
 
-test("a replica whose limit is used up counts as busy, so its stage is not taken for idle", () => {
+test("counts a replica whose limit is used up as busy", () => {
   const planner = new Planner(engineView({ d1: 1, d2: 1 }));
   const before = planner.loadOf("s", 0);
-  for (let at = 0; at < 4; at++) {
-    planner.enqueue("h", ask(`r${at}`, { tokens: 1, promptTokens: 1 }), 0);
+  for (let index = 0; index < 4; index++) {
+    planner.enqueue(
+      "h",
+      planRequest(`r${index}`, { tokens: 1, promptTokens: 1 }),
+      0,
+    );
   }
   messages(planner, 0);
   assert.ok(before.decode < 0.1);
   assert.equal(planner.loadOf("s", 0).decode, 1);
 });
 
-test("a stream that could only go on later than its caller waits ends at once", () => {
+test("refuses a resumed stream at once when the limit has no room before its caller times out", () => {
   const planner = new Planner(engineView({ d1: 0.2 }));
-  const begun = { begun: true, excluded: ["d2"], tokens: 10 };
-  planner.enqueue("h", ask("first", begun), 0);
+  const resumed = { begun: true, excluded: ["d2"], tokens: 10 };
+  planner.enqueue("h", planRequest("first", resumed), 0);
   assert.deepEqual(decodesOf(messages(planner, 0)), ["d1"]);
-  const stage = PlaceStage.refused;
-  const word = { type: "progress" as const, id: "first", stage };
-  planner.report({ ...word, retryAfterMs: 5000 }, 10);
-  planner.enqueue("h", ask("again", { ...begun, patienceMs: 6000 }), 20);
+  const stage = AssignmentStage.refused;
+  const progress = { type: "progress" as const, id: "first", stage };
+  planner.report({ ...progress, retryAfterMs: 5000 }, 10);
+  planner.enqueue(
+    "h",
+    planRequest("again", { ...resumed, patienceMs: 6000 }),
+    20,
+  );
   assert.deepEqual(messages(planner, 20), []);
-  planner.enqueue("h", ask("short", { ...begun, patienceMs: 3000 }), 20);
+  planner.enqueue(
+    "h",
+    planRequest("short", { ...resumed, patienceMs: 3000 }),
+    20,
+  );
   const [refused] = messages(planner, 20);
   assert.ok(isRefused(refused) && refused.id === "short");
 });
--- a/test/gateway/planning/planner_rig.ts
+++ b/test/gateway/planning/planner_rig.ts
@@ -1,4 +1,4 @@
-/** A planner's view and asks, for its tests. */
+/** Fixtures for tests of the planner. */
 import { type ReplicaEntry, ReplicaStage } from "../../../src/gateway/mod.ts";
 import type {
   PlanAsk,
@@ -19,8 +19,8 @@
   return replicaEntry(incarnation, { stage, slots: 64 });
 }
 
-/** Two decode replicas and one for prefills. */
-export function view(change: Partial<PlannerView> = {}): PlannerView {
+/** Two decode replicas and one prefill replica. */
+export function view(overrides: Partial<PlannerView> = {}): PlannerView {
   return {
     replicasOf: () => [
       replica("d1", ReplicaStage.decode),
@@ -35,12 +35,15 @@
     noteSuccess: () => undefined,
     random: () => 0,
     farCharge: 0.1,
-    ...change,
+    ...overrides,
   };
 }
 
-/** An ask that can wait. */
-export function ask(id: string, change: Partial<PlanAsk> = {}): PlanAsk {
+/** A request that can wait. */
+export function planRequest(
+  id: string,
+  overrides: Partial<PlanAsk> = {},
+): PlanAsk {
   return {
     type: "ask",
     id,
@@ -56,24 +59,29 @@
     begun: false,
     whole: false,
     excluded: [],
-    ...change,
+    ...overrides,
   };
 }
 
-/** The requests that were granted a place. */
-export function grants(messages: readonly PlannerMessage[]): string[] {
-  return messages.flatMap((one) => one.type === "grant" ? [one.id] : []);
+/** The ids of the granted requests. */
+export function grantedIds(messages: readonly PlannerMessage[]): string[] {
+  return messages.flatMap((message) =>
+    message.type === "grant" ? [message.id] : []
+  );
 }
 
-/** What the planner answers now. */
+/** The planner's messages of one pass. */
 export function messages(planner: Planner, now: number): PlannerMessage[] {
-  return planner.pass(now).map((one) => one.message);
+  return planner.pass(now).map((answer) => answer.message);
 }
 
-/** Places "a" to "d", 1,600 of the 2,000 tokens of `view`, given elsewhere. */
+/**
+ * Restores assignments "a" to "d", which use 1,600 of the 2,000 tokens of
+ * `view`.
+ */
 export function fill(planner: Planner): void {
-  ["a", "b", "c", "d"].forEach((id, at) => {
-    const decode = at % 2 === 0 ? "d1" : "d2";
+  ["a", "b", "c", "d"].forEach((id, index) => {
+    const decode = index % 2 === 0 ? "d1" : "d2";
     planner.restore("h", { type: "keep", id, decode, tokens: 400 }, 0);
   });
 }
--- a/test/gateway/planning/priority_test.ts
+++ b/test/gateway/planning/priority_test.ts
@@ -1,48 +1,56 @@
-/** Routes' priorities at the planner of a model service. */
+/** Route priorities at the planner of a model service. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { inOrder } from "../../../src/gateway/planning/order.ts";
+import { schedulingOrder } from "../../../src/gateway/planning/order.ts";
 import { Planner } from "../../../src/gateway/planning/planner.ts";
-import { ask, fill, grants, messages, view } from "./planner_rig.ts";
+import {
+  fill,
+  grantedIds,
+  messages,
+  planRequest,
+  view,
+} from "./planner_rig.ts";
 
-test("the more urgent go first, also when they are late", () => {
-  const one = (dueAt: number, priority: number, begun = false) => ({
+test("orders more urgent requests first, even when they are late", () => {
+  const request = (dueAt: number, priority: number, mayHaveRun = false) => ({
     dueAt,
     priority,
-    begun,
-    returned: false,
+    mayHaveRun,
+    isRetry: false,
   });
-  const order = inOrder(
-    [one(200, 3), one(5, 1), one(300, 1), one(900, 3, true)],
+  const order = schedulingOrder(
+    [request(200, 3), request(5, 1), request(300, 1), request(900, 3, true)],
     0,
     () => 100,
   );
   assert.deepEqual(order.map(({ dueAt }) => dueAt), [900, 300, 5, 200]);
 });
 
-test("a less urgent request takes no memory that a more urgent one waits for", () => {
+test("gives no memory to a less urgent request while a more urgent one waits for it", () => {
   const planner = new Planner(view());
   fill(planner);
-  planner.enqueue("h", ask("urgent", { priority: 1, tokens: 800 }), 1);
-  planner.enqueue("h", ask("small", { priority: 2, tokens: 100 }), 1);
+  planner.enqueue("h", planRequest("urgent", { priority: 1, tokens: 800 }), 1);
+  planner.enqueue("h", planRequest("small", { priority: 2, tokens: 100 }), 1);
   assert.deepEqual(messages(planner, 1), []);
   planner.report({ type: "progress", id: "a", stage: "ended" }, 2);
   assert.deepEqual(messages(planner, 2), []);
   for (const id of ["b", "c"]) {
     planner.report({ type: "progress", id, stage: "ended" }, 3);
   }
-  assert.deepEqual(grants(messages(planner, 3)), ["urgent", "small"]);
+  assert.deepEqual(grantedIds(messages(planner, 3)), ["urgent", "small"]);
 });
 
-test("a less urgent queue doesn't have a more urgent request refused", () => {
+test("doesn't refuse a more urgent request because of less urgent ones in the queue", () => {
   const planner = new Planner(view());
   fill(planner);
   const patient = { patienceMs: 6000, slackMs: 6000, priority: 2, tokens: 900 };
-  for (const id of ["e", "f"]) planner.enqueue("h", ask(id, patient), 1);
-  const hurried = { key: "k", patienceMs: 1000 };
-  planner.enqueue("h", ask("urgent", { ...hurried, priority: 1 }), 1);
+  for (const id of ["e", "f"]) {
+    planner.enqueue("h", planRequest(id, patient), 1);
+  }
+  const impatient = { key: "k", patienceMs: 1000 };
+  planner.enqueue("h", planRequest("urgent", { ...impatient, priority: 1 }), 1);
   assert.deepEqual(messages(planner, 2), []);
-  planner.enqueue("h", ask("last", { ...hurried, priority: 2 }), 2);
+  planner.enqueue("h", planRequest("last", { ...impatient, priority: 2 }), 2);
   const refused = messages(planner, 3);
-  assert.deepEqual(refused.map((one) => one.type), ["refusal"]);
+  assert.deepEqual(refused.map((message) => message.type), ["refusal"]);
 });
--- a/test/gateway/planning/shapes_test.ts
+++ b/test/gateway/planning/shapes_test.ts
@@ -1,7 +1,7 @@
 /**
- * The planner under shapes of traffic that no deployment here has: long prompts
- * and short answers, the reverse, memory for two requests, one replica or many,
- * callers that come back again and again.
+ * Property test of the planner with generated workloads, such as long prompts,
+ * long responses, little memory and repeated retries. Guards against requests
+ * without a response and memory that is reserved twice.
  */
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -9,20 +9,20 @@
 import "../../fixed_seed.ts";
 import { type ReplicaEntry, ReplicaStage } from "../../../src/gateway/mod.ts";
 import { Planner } from "../../../src/gateway/planning/planner.ts";
-import { ask, messages, replica, view } from "./planner_rig.ts";
+import { messages, planRequest, replica, view } from "./planner_rig.ts";
 
 const STEP_MS = 20;
-const PATIENCE_MS = 1000;
+const TIMEOUT_MS = 1000;
 
-type Held = { decode: string; tokens: number; until: number };
+type ActiveAssignment = { decode: string; tokens: number; endsAt: number };
 
-const shape = fc.record({
+const workload = fc.record({
   prefills: fc.integer({ min: 0, max: 8 }),
   decodes: fc.integer({ min: 1, max: 30 }),
   memory: fc.integer({ min: 200, max: 40_000 }),
   prompt: fc.integer({ min: 1, max: 9000 }),
   output: fc.integer({ min: 1, max: 4000 }),
-  lifeMs: fc.integer({ min: 20, max: 3000 }),
+  lifetimeMs: fc.integer({ min: 20, max: 3000 }),
   requests: fc.array(
     fc.record({
       atMs: fc.integer({ min: 0, max: 2000 }),
@@ -34,39 +34,42 @@
 });
 
 function replicasOf(prefills: number, decodes: number): ReplicaEntry[] {
-  const named = (name: string, count: number, stage: ReplicaStage) =>
-    Array.from({ length: count }, (_, at) => replica(`${name}${at}`, stage));
+  const createReplicas = (prefix: string, count: number, stage: ReplicaStage) =>
+    Array.from(
+      { length: count },
+      (_, index) => replica(`${prefix}${index}`, stage),
+    );
   return [
-    ...named("p", prefills, ReplicaStage.prefill),
-    ...named("d", decodes, ReplicaStage.decode),
+    ...createReplicas("p", prefills, ReplicaStage.prefill),
+    ...createReplicas("d", decodes, ReplicaStage.decode),
   ];
 }
 
-test("of any shape, all are answered in time and no memory is given twice", () => {
+test("responds to every request in time and never reserves memory twice, for any workload", () => {
   fc.assert(
-    fc.property(shape, (one) => {
-      const replicas = replicasOf(one.prefills, one.decodes);
+    fc.property(workload, (load) => {
+      const replicas = replicasOf(load.prefills, load.decodes);
       const planner = new Planner(view({
         replicasOf: () => replicas,
-        memoryOf: () => one.memory,
+        memoryOf: () => load.memory,
       }));
-      const tokens = one.prompt + one.output;
+      const tokens = load.prompt + load.output;
       const waiting = new Map<string, number>();
-      const held = new Map<string, Held>();
-      const last = Math.max(...one.requests.map(({ atMs }) => atMs));
-      for (let now = 0; now <= last + PATIENCE_MS + STEP_MS; now += STEP_MS) {
-        one.requests.forEach(({ atMs, key, begun }, at) => {
+      const active = new Map<string, ActiveAssignment>();
+      const last = Math.max(...load.requests.map(({ atMs }) => atMs));
+      for (let now = 0; now <= last + TIMEOUT_MS + STEP_MS; now += STEP_MS) {
+        load.requests.forEach(({ atMs, key, begun }, index) => {
           if (atMs < now || atMs >= now + STEP_MS) return;
-          const id = `r${at}`;
-          waiting.set(id, now + PATIENCE_MS);
-          const sizes = { tokens, promptTokens: one.prompt };
-          const times = { patienceMs: PATIENCE_MS };
-          const wish = { ...sizes, ...times, key: `k${key}`, begun };
-          planner.enqueue("h", ask(id, wish), now);
+          const id = `r${index}`;
+          waiting.set(id, now + TIMEOUT_MS);
+          const sizes = { tokens, promptTokens: load.prompt };
+          const timing = { patienceMs: TIMEOUT_MS };
+          const fields = { ...sizes, ...timing, key: `k${key}`, begun };
+          planner.enqueue("h", planRequest(id, fields), now);
         });
-        for (const [id, { until }] of held) {
-          if (until > now) continue;
-          held.delete(id);
+        for (const [id, { endsAt }] of active) {
+          if (endsAt > now) continue;
+          active.delete(id);
           const stage = "answered" as const;
           planner.report({ type: "progress", id, stage }, now);
         }
@@ -75,19 +78,28 @@
           waiting.delete(message.id);
           if (message.type === "refusal") continue;
           const { id, decode } = message;
-          held.set(id, { decode, tokens, until: now + one.lifeMs });
+          active.set(id, { decode, tokens, endsAt: now + load.lifetimeMs });
           const stage = "prefilled" as const;
           planner.report({ type: "progress", id, stage, spentMs: 1 }, now);
         }
-        for (const [id, until] of waiting) {
-          assert.ok(now < until + STEP_MS, `${id} waits at ${now}`);
+        for (const [id, abandonAt] of waiting) {
+          assert.ok(
+            now < abandonAt + STEP_MS,
+            `${id} still waits at ${now} ms`,
+          );
         }
         for (const { incarnation } of replicas) {
-          const here = [...held.values()]
+          const assignments = [...active.values()]
             .filter(({ decode }) => decode === incarnation);
-          const sum = here.reduce((total, place) => total + place.tokens, 0);
-          const fits = sum <= one.memory || here.length <= 1;
-          assert.ok(fits, `${incarnation} holds ${sum} of ${one.memory}`);
+          const sum = assignments.reduce(
+            (total, assignment) => total + assignment.tokens,
+            0,
+          );
+          const fits = sum <= load.memory || assignments.length <= 1;
+          assert.ok(
+            fits,
+            `${incarnation}: ${sum} of ${load.memory} tokens reserved`,
+          );
         }
       }
       assert.equal(waiting.size, 0);
