--- a/src/gateway/routing/route_table.ts
+++ b/src/gateway/routing/route_table.ts
@@ -1,107 +1,115 @@
-/** The routes in force: versions only rise in the life of a process. */
+/**
+ * The active configuration. Its version never decreases while the process runs.
+ */
 import { CustomerTable } from "../customers/customer_table.ts";
 import type { Route, RouteConfig, Service, Target } from "./model.ts";
 
-/** The newest configuration seen, with what is needed to look routes up. */
+/**
+ * Looks up routes, services and customers in the newest configuration received.
+ */
 export class RouteTable {
   #config: RouteConfig | undefined;
-  #byHost = new Map<string, Route[]>();
+  #routesByHost = new Map<string, Route[]>();
   #services = new Map<string, Service>();
   #customers: CustomerTable | undefined;
-  #heardVersion = 0;
+  #announcedVersion = 0;
 
-  /** The configuration in force; undefined before the first. */
+  /** The active configuration; undefined before the first. */
   get config(): RouteConfig | undefined {
     return this.#config;
   }
 
-  /** The version in force; 0 before the first. */
+  /** The active version; 0 before the first. */
   get version(): number {
     return this.#config?.version ?? 0;
   }
 
-  /** The newest version that this host has heard of. */
+  /** The newest version announced to or adopted by this host. */
   get newestVersion(): number {
-    return Math.max(this.#heardVersion, this.version);
+    return Math.max(this.#announcedVersion, this.version);
   }
 
-  /** There is a newer configuration than the one in force here. */
+  /** Whether a newer configuration than the active one has been announced. */
   get isBehind(): boolean {
     return this.newestVersion > this.version;
   }
 
-  /** There is such a version; says whether that is news. */
+  /** Records an announced version; returns whether it is the newest so far. */
   noteVersion(version: number): boolean {
-    const isNews = version > this.newestVersion;
-    this.#heardVersion = Math.max(this.#heardVersion, version);
-    return isNews;
+    const isNew = version > this.newestVersion;
+    this.#announcedVersion = Math.max(this.#announcedVersion, version);
+    return isNew;
   }
 
-  /** The customers in force; undefined where no keys are asked for. */
+  /**
+   * The customers of the active configuration; undefined if no keys are
+   * required.
+   */
   get customers(): CustomerTable | undefined {
     return this.#customers;
   }
 
-  /** Takes a configuration if it is newer; says whether it was taken. */
+  /** Adopts a configuration if it is newer; returns whether it was adopted. */
   adopt(config: RouteConfig): boolean {
     if (this.#config && config.version <= this.#config.version) return false;
     this.#config = config;
-    this.#services = new Map(config.services.map((one) => [one.name, one]));
-    this.#byHost = byHost(config.routes);
+    this.#services = new Map(
+      config.services.map((service) => [service.name, service]),
+    );
+    this.#routesByHost = routesByHost(config.routes);
     this.#customers = config.customers && new CustomerTable(config.customers);
     return true;
   }
 
-  /** The service of that name. */
   service(name: string): Service | undefined {
     return this.#services.get(name);
   }
 
-  /** The route of a request: the longest prefix of its path. */
+  /** The route with the longest prefix of the request's path. */
   match(hostHeader: string, target: string): Route | undefined {
-    const routes = this.#byHost.get(hostName(hostHeader));
+    const routes = this.#routesByHost.get(hostName(hostHeader));
     const path = pathOf(target);
     return routes?.find((route) => path.startsWith(route.pathPrefix));
   }
 }
 
-/** Routes of each host, those with the longest prefix first. */
-function byHost(routes: readonly Route[]): Map<string, Route[]> {
+/** Routes by host, those with the longest prefix first. */
+function routesByHost(routes: readonly Route[]): Map<string, Route[]> {
   const table = new Map<string, Route[]>();
   for (const route of routes) {
     const host = route.host.toLowerCase();
-    const known = table.get(host);
-    if (known) known.push(route);
+    const list = table.get(host);
+    if (list) list.push(route);
     else table.set(host, [route]);
   }
-  for (const list of table.values()) {
-    list.sort((a, b) => b.pathPrefix.length - a.pathPrefix.length);
+  for (const hostRoutes of table.values()) {
+    hostRoutes.sort((a, b) => b.pathPrefix.length - a.pathPrefix.length);
   }
   return table;
 }
 
 function hostName(header: string): string {
   const colon = header.lastIndexOf(":");
-  const port = colon >= 0 && /^\d+$/.test(header.slice(colon + 1));
-  return (port ? header.slice(0, colon) : header).toLowerCase();
+  const hasPort = colon >= 0 && /^\d+$/.test(header.slice(colon + 1));
+  return (hasPort ? header.slice(0, colon) : header).toLowerCase();
 }
 
 function pathOf(target: string): string {
-  const query = target.indexOf("?");
-  return query < 0 ? target : target.slice(0, query);
+  const queryAt = target.indexOf("?");
+  return queryAt < 0 ? target : target.slice(0, queryAt);
 }
 
-/** The service that takes a request; `chance` is in [0, 1). */
+/** Picks the service for a request by weight; `chance` is in [0, 1). */
 export function pickTarget(
   targets: readonly Target[],
   chance: number,
 ): string | undefined {
-  const total = targets.reduce((sum, one) => sum + one.weight, 0);
-  let left = chance * total;
-  for (const one of targets) {
-    if (one.weight <= 0) continue;
-    left -= one.weight;
-    if (left < 0) return one.service;
+  const total = targets.reduce((sum, target) => sum + target.weight, 0);
+  let remaining = chance * total;
+  for (const target of targets) {
+    if (target.weight <= 0) continue;
+    remaining -= target.weight;
+    if (remaining < 0) return target.service;
   }
-  return targets.findLast((one) => one.weight > 0)?.service;
+  return targets.findLast((target) => target.weight > 0)?.service;
 }
--- a/src/gateway/routing/schema.ts
+++ b/src/gateway/routing/schema.ts
@@ -1,4 +1,4 @@
-/** The schema of a configuration where hosts tell each other of it. */
+/** Schema of the configuration in messages between hosts. */
 import * as z from "zod";
 import { QuotaUnit } from "../customers/model.ts";
 import { RouteKind } from "./model.ts";
@@ -41,7 +41,7 @@
   }).exactOptional(),
 });
 
-/** Reads a `RouteConfig`. */
+/** Parses a `RouteConfig`. */
 export const RouteConfigSchema = z.object({
   version: z.number(),
   routes: z.array(Route).readonly(),
--- a/test/gateway/routing/route_table_test.ts
+++ b/test/gateway/routing/route_table_test.ts
@@ -1,4 +1,4 @@
-/** Which route takes a request, and that versions never go back. */
+/** Route matching, adoption of configuration versions and choice of targets. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import fc from "fast-check";
@@ -36,7 +36,7 @@
   return { version, routes, services: [], limits };
 }
 
-test("the longest prefix of the request's host wins", () => {
+test("matches the longest path prefix of the request's host", () => {
   const table = new RouteTable();
   const routes = [route("a", "/"), route("a", "/x/"), route("b", "/x/y/")];
   table.adopt(config(1, routes));
@@ -47,20 +47,20 @@
   assert.equal(table.match("c", "/"), undefined);
 });
 
-test("whatever order versions come in, the newest stays in force", () => {
+test("keeps the newest configuration in whatever order versions arrive", () => {
   fc.assert(fc.property(fc.array(fc.nat(50)), (versions) => {
     const table = new RouteTable();
     let newest = 0;
     for (const version of versions) {
-      const taken = table.adopt(config(version, []));
-      assert.equal(taken, table.version === version && taken);
+      const isAdopted = table.adopt(config(version, []));
+      assert.equal(isAdopted, table.version === version && isAdopted);
       newest = Math.max(newest, version);
       assert.equal(table.version, newest);
     }
   }));
 });
 
-test("targets are taken by their weights", () => {
+test("picks targets by their weights", () => {
   const targets = [
     { service: "a", weight: 90 },
     { service: "none", weight: 0 },
