--- a/src/gateway/state/config_catchup.ts
+++ b/src/gateway/state/config_catchup.ts
@@ -1,11 +1,10 @@
 /**
- * Fetches a configuration that this host has heard of and doesn't hold: from
- * the store, and from peers where the store does not answer this host.
+ * Fetches an announced configuration version that this host lacks: from the
+ * store, and from peers while the store does not respond.
  *
- * The news of a version goes to all hosts at once, also through hosts that
- * can't have the version themselves, and it alone starts the fetch. So whom a
- * host follows decides how soon it hears, never how long the fetch takes, also
- * where the store turns the relay of a hall away.
+ * Version announcements reach all hosts at once, also through hosts that can't
+ * fetch the version themselves, and each host fetches on its own. A relay that
+ * the store rejects therefore does not delay its followers.
  */
 import type { Milliseconds } from "../../util/units.ts";
 import { sleep } from "../clock.ts";
@@ -13,93 +12,96 @@
 import type { HostDirectory } from "../peers/directory.ts";
 
 /**
- * Least time between the beginnings of two fetches: of configurations in quick
- * succession some are skipped, the newest never.
+ * Minimum time between the starts of two fetches. Of versions published in quick
+ * succession some are skipped, but never the newest.
  */
-const FETCH_PAUSE_MS = 300;
+const MIN_FETCH_INTERVAL_MS = 300;
 /**
- * The store is given so long before peers are asked, too: some 30 times an
- * answer of a healthy store, and a small part of the 2 s in which a
- * configuration has to be in force.
+ * Delay before this host also sends requests to peers: far above the latency of a
+ * healthy store, and far below the 2 s within which a configuration has to take
+ * effect.
  */
 const STORE_HEAD_START_MS = 150;
+/** Delay before the next peer also receives a request if one responds slowly. */
+const NEXT_PEER_DELAY_MS = 300;
+/** Max peers that receive a request before the store is retried. */
+const PEERS_PER_ROUND = 4;
 /**
- * A peer is given so long to answer before the next one is asked, too. One
- * that has nothing newer says so within a few ms.
+ * Random peers that receive a request before the host that announced the version:
+ * otherwise all its followers would request a large configuration from it.
  */
-const NEXT_PEER_MS = 300;
-/** Peers that are asked before the store is tried again. */
-const PEERS_A_ROUND = 4;
-/**
- * Peers drawn at random that are asked before the one that told of the version:
- * it has told all its followers, who would all ask it for a large one.
- */
-const PEERS_BEFORE_TELLER = 2;
-/** Pause after a round in which nobody had it; it grows up to the longest. */
+const PEERS_BEFORE_HOLDER = 2;
+/** Initial pause after a round that did not yield the version. */
 const ROUND_PAUSE_MS = 200;
 const ROUND_PAUSE_GROWTH = 1.5;
-const LONGEST_ROUND_PAUSE_MS = 1000;
+const MAX_ROUND_PAUSE_MS = 1000;
 
-/** News of a version. */
-export type VersionNews = {
+/** Announces that a configuration version exists. */
+export type VersionAnnouncement = {
   readonly version: number;
-  /** Address of the host that told it, where that one holds it. */
+  /** Address of the announcing host if it has the version. */
   readonly holder?: string | undefined;
 };
 
-/** What a catch-up is made from. */
-export type ConfigCatchupSource = {
+/** Options of {@link ConfigCatchup}. */
+export type ConfigCatchupOptions = {
   readonly context: Pick<GatewayContext, "clock" | "random" | "routes">;
   readonly directory: Pick<HostDirectory, "addresses">;
-  /** Reads the store's configuration; whether the store answered. */
+  /** Reads the store's configuration; resolves with whether the store responded. */
   readStore(): Promise<boolean>;
-  /** Takes what a peer has; resolves when it has answered or will not. */
-  askPeer(address: string): Promise<void>;
+  /**
+   * Requests a peer's configuration and applies it; resolves when the peer has
+   * responded or the request has failed.
+   */
+  requestFromPeer(address: string): Promise<void>;
 };
 
-/** Fetches one version after the other. */
+/** Fetches announced versions, one at a time. */
 export class ConfigCatchup {
-  readonly #source: ConfigCatchupSource;
-  #news: VersionNews = { version: 0 };
+  readonly #options: ConfigCatchupOptions;
+  #announced: VersionAnnouncement = { version: 0 };
   #isFetching = false;
   #fetchedAt: Milliseconds = -Infinity;
   #isStopped = false;
 
-  constructor(source: ConfigCatchupSource) {
-    this.#source = source;
+  constructor(options: ConfigCatchupOptions) {
+    this.#options = options;
   }
 
-  /** There is such a version: it is fetched, unless this host holds it. */
-  heard(news: VersionNews): void {
-    if (news.version < this.#news.version) return;
-    if (news.version > this.#news.version || news.holder !== undefined) {
-      this.#news = news;
+  /** Starts to fetch an announced version unless this host has it. */
+  noteVersion(announcement: VersionAnnouncement): void {
+    if (announcement.version < this.#announced.version) return;
+    if (
+      announcement.version > this.#announced.version ||
+      announcement.holder !== undefined
+    ) {
+      this.#announced = announcement;
     }
     if (!this.#isFetching && this.#isBehind) void this.#fetch();
   }
 
-  /** Nothing is fetched any more. */
+  /** Stops all fetches. */
   stop(): void {
     this.#isStopped = true;
   }
 
   get #isBehind(): boolean {
-    return this.#source.context.routes.version < this.#news.version;
+    return this.#options.context.routes.version < this.#announced.version;
   }
 
   async #fetch(): Promise<void> {
-    const { clock } = this.#source.context;
+    const { clock } = this.#options.context;
     this.#isFetching = true;
-    const earliestAt = this.#fetchedAt + FETCH_PAUSE_MS;
+    const earliestAt = this.#fetchedAt + MIN_FETCH_INTERVAL_MS;
     if (clock.now() < earliestAt) await sleep(clock, earliestAt - clock.now());
     this.#fetchedAt = clock.now();
     let pauseMs = ROUND_PAUSE_MS;
     while (this.#isBehind && !this.#isStopped) {
-      await this.#round();
+      await this.#runRound();
       if (!this.#isBehind) break;
       await sleep(clock, pauseMs);
       pauseMs = Math.min(
-        LONGEST_ROUND_PAUSE_MS,
+        MAX_ROUND_PAUSE_MS,
         pauseMs * ROUND_PAUSE_GROWTH,
       );
     }
@@ -107,30 +109,32 @@
   }
 
   /**
-   * Asks the store and some peers, also where the store has answered: one that
-   * came back from an older copy may lack a version that peers hold.
+   * Reads from the store and then from some peers, also if the store has
+   * responded: after a restore it may lack a version that peers have.
    */
-  async #round(): Promise<void> {
-    const { clock } = this.#source.context;
-    const store = this.#source.readStore();
+  async #runRound(): Promise<void> {
+    const { clock } = this.#options.context;
+    const store = this.#options.readStore();
     await Promise.race([store, sleep(clock, STORE_HEAD_START_MS)]);
-    for (const address of this.#peersInTurn()) {
+    for (const address of this.#selectPeers()) {
       if (!this.#isBehind) return;
-      const asked = this.#source.askPeer(address);
-      await Promise.race([asked, sleep(clock, NEXT_PEER_MS)]);
+      const response = this.#options.requestFromPeer(address);
+      await Promise.race([response, sleep(clock, NEXT_PEER_DELAY_MS)]);
     }
   }
 
-  /** Peers at random, and among the first one that surely holds it. */
-  #peersInTurn(): string[] {
-    const { context: { random }, directory } = this.#source;
-    const { holder } = this.#news;
-    const others = directory.addresses().filter((one) => one !== holder);
-    const drawn: string[] = [];
-    while (drawn.length < PEERS_A_ROUND && others.length > 0) {
-      drawn.push(...others.splice(Math.floor(random() * others.length), 1));
+  /** Random peers, with the known holder of the version near the front. */
+  #selectPeers(): string[] {
+    const { context: { random }, directory } = this.#options;
+    const { holder } = this.#announced;
+    const others = directory.addresses().filter((address) =>
+      address !== holder
+    );
+    const selected: string[] = [];
+    while (selected.length < PEERS_PER_ROUND && others.length > 0) {
+      selected.push(...others.splice(Math.floor(random() * others.length), 1));
     }
-    if (holder !== undefined) drawn.splice(PEERS_BEFORE_TELLER, 0, holder);
-    return drawn.slice(0, PEERS_A_ROUND);
+    if (holder !== undefined) selected.splice(PEERS_BEFORE_HOLDER, 0, holder);
+    return selected.slice(0, PEERS_PER_ROUND);
   }
 }
--- a/src/gateway/state/config_reader.ts
+++ b/src/gateway/state/config_reader.ts
@@ -1,4 +1,4 @@
-/** Reads the store's configuration, and says how fresh the one in force is. */
+/** Reads the store's configuration and records how fresh the local one is. */
 import type { Milliseconds } from "../../util/units.ts";
 import type { GatewayContext } from "../context.ts";
 import { eraOf, type Position, type StorePlace } from "../position.ts";
@@ -7,62 +7,66 @@
 import type { CallStart } from "./store_eras.ts";
 import type { Synchronizer } from "./synchronizer.ts";
 
-/** What a reader is made from. */
-export type ConfigReaderSource = {
+/** Options of {@link ConfigReader}. */
+export type ConfigReaderOptions = {
   readonly context: Pick<GatewayContext, "clock" | "eras" | "routes">;
   readonly store: Store;
   readonly calls: StoreCalls;
   readonly synchronizer: Synchronizer;
-  /** Longest wait for an answer of the store. */
+  /** Timeout of a call to the store. */
   readonly timeoutMs: Milliseconds;
-  /** How long the store holds a watch that has nothing to tell. */
+  /** Time after which the store ends a watch without changes. */
   readonly watchMs: Milliseconds;
 };
 
-/** Reads whole or watches on. */
+/** Reads the full configuration, or watches it for changes. */
 export class ConfigReader {
-  readonly #source: ConfigReaderSource;
+  readonly #options: ConfigReaderOptions;
   #watch = new AbortController();
-  /** Version that the store was last seen with; 0: none in this era. */
+  /** Version last read from the store; 0: none in this era. */
   #storeVersion = 0;
 
-  constructor(source: ConfigReaderSource) {
-    this.#source = source;
-    source.context.eras.listen(() => {
+  constructor(options: ConfigReaderOptions) {
+    this.#options = options;
+    options.context.eras.listen(() => {
       this.#storeVersion = 0;
       this.endWatch();
     });
   }
 
-  /** A watch that is held ends: it may hang, or begin at a place that is gone. */
+  /**
+   * Aborts the open watch, which may hang on a dead connection or start at a
+   * position that no longer exists.
+   */
   endWatch(): void {
     this.#watch.abort();
   }
 
   /**
-   * Reads the configuration, or watches for the next from a place on. Undefined:
-   * no good answer came. Without a place: to be read whole.
+   * Reads the configuration, or watches for changes after `from`. Resolves with
+   * undefined if the call failed. A reading without a position requires a full
+   * read next.
    */
   async read(from?: StorePlace): Promise<ConfigReading | undefined> {
-    const { context: { clock, eras }, synchronizer } = this.#source;
-    const askedAt = clock.now();
-    const start = eras.start();
-    const reading = await this.#call(from);
+    const { context: { clock, eras }, synchronizer } = this.#options;
+    const requestedAt = clock.now();
+    const start = eras.beginCall();
+    const reading = await this.#request(from);
     if (reading?.config) synchronizer.takeConfig(reading.config, "store");
     if (!reading?.place) return reading;
-    const position = eras.place(reading.place, start);
+    const position = eras.resolvePosition(reading.place, start);
     eras.hear(position, clock.now());
     if (this.#isOfAnotherEra(position, { start, from })) return {};
     if (reading.config) this.#storeVersion = reading.config.version;
     else if (from === undefined) this.#storeVersion = 0;
-    this.#noteNewest(askedAt);
+    this.#noteNewest(requestedAt);
     return reading;
   }
 
-  async #call(
+  async #request(
     from: StorePlace | undefined,
   ): Promise<ConfigReading | undefined> {
-    const { store, calls, timeoutMs, watchMs } = this.#source;
+    const { store, calls, timeoutMs, watchMs } = this.#options;
     if (!from) {
       return await calls.read((signal) => store.readConfig(signal), timeoutMs);
     }
@@ -74,8 +78,8 @@
   }
 
   /**
-   * A late answer of an earlier era doesn't say what is there now, nor do changes
-   * after a place that isn't in the history of this one.
+   * Whether a response says nothing about the current era: it is from an earlier
+   * one, or lists changes after a position of another era.
    */
   #isOfAnotherEra(
     position: Position,
@@ -85,18 +89,18 @@
     },
   ): boolean {
     const era = eraOf(position);
-    if (era < this.#source.context.eras.era) return true;
+    if (era < this.#options.context.eras.era) return true;
     return from !== undefined && era !== eraOf(start.newest);
   }
 
   /**
-   * The store had no newer version than ours, unless it lacks ours: then newer
-   * ones may be lacking, too, until they are written again.
+   * Records that the local version was the newest one at `requestedAt`. A restored
+   * store that lacks it may lack newer versions too, so that it proves nothing.
    */
-  #noteNewest(askedAt: Milliseconds): void {
-    const { context: { routes, eras }, synchronizer } = this.#source;
-    const hasOurs = this.#storeVersion === routes.version;
-    if (!hasOurs || !eras.isSettled(askedAt)) return;
-    synchronizer.noteNewest(routes.version, askedAt);
+  #noteNewest(requestedAt: Milliseconds): void {
+    const { context: { routes, eras }, synchronizer } = this.#options;
+    const hasLocalVersion = this.#storeVersion === routes.version;
+    if (!hasLocalVersion || !eras.isSettled(requestedAt)) return;
+    synchronizer.noteNewest(routes.version, requestedAt);
   }
 }
--- a/src/gateway/state/fleet_news.ts
+++ b/src/gateway/state/fleet_news.ts
@@ -1,4 +1,7 @@
-/** What hosts tell each other of replicas besides the store's listing. */
+/**
+ * Replica state that hosts exchange in addition to the store's listing: crashes,
+ * rate limits and draining replicas.
+ */
 import * as z from "zod";
 import type { Clock } from "../clock.ts";
 import {
@@ -21,100 +24,102 @@
 import { NewsSharing } from "../peers/news_sharing.ts";
 import type { LeavingReplicas } from "../replicas/leaving_replicas.ts";
 
-/** Bounds the messages over a link when replicas crash or leave by the dozen. */
-const GATHER_MS = 20;
-/** A replica may name another limit in each answer: this bounds what a relay tells. */
-const LIMIT_GATHER_MS = 100;
+/** Limits the messages per link when many replicas crash or drain at once. */
+const BATCH_INTERVAL_MS = 20;
+/** A replica may report a different limit in each response. */
+const LIMIT_BATCH_INTERVAL_MS = 100;
 
-/** Replicas that leave; a replica never stays once it said so. */
+/** Replicas that are draining; a replica never cancels draining. */
 const LeavingSchema = z.object({
   type: z.literal("leaving"),
   incarnations: z.array(z.string()).readonly(),
 });
 
-/** A message of news. */
-export type NewsMessage =
+/** An update message. */
+export type UpdateMessage =
   | CrashesMessage
   | LimitsMessage
   | z.output<typeof LeavingSchema>;
-/** Reads the messages of news. */
-export const NEWS_SCHEMAS = [
+/** Schemas of the update messages. */
+export const UPDATE_SCHEMAS = [
   CrashesSchema,
   LimitsSchema,
   LeavingSchema,
 ] as const;
 
-/** Tells and takes news over links. */
+/** Exchanges updates over links. */
 export type News = {
-  /** A link stands: its other end is told all that is known. */
+  /** Sends all known state over a link that has just opened. */
   greet(link: Link): void;
-  /** Takes what the other end of a link tells. */
-  take(link: Link, message: NewsMessage): void;
+  /** Handles an update that was received over a link. */
+  take(link: Link, message: UpdateMessage): void;
 };
 
-/** Whether a message is news. */
-export function isNews(
+/** Whether a message is an update. */
+export function isUpdate(
   message: { readonly type: string },
-): message is NewsMessage {
+): message is UpdateMessage {
   const { type } = message;
   return type === "crashes" || type === "limits" || type === "leaving";
 }
 
-/** What news is told of, and over what. */
-export type FleetNewsSource = {
+/** Options of {@link FleetUpdates}. */
+export type FleetUpdatesOptions = {
   readonly clock: Clock;
   readonly crashes: CrashWatch;
   readonly limits: ReplicaLimits;
   readonly leaving: LeavingReplicas;
-  /** The links that stand. */
+  /** The open links. */
   readonly links: () => readonly Link[];
 };
 
-/** The news of one host. */
-export class FleetNews implements News {
-  readonly #source: FleetNewsSource;
+/** Sends the updates of one host, and applies and forwards received ones. */
+export class FleetUpdates implements News {
+  readonly #options: FleetUpdatesOptions;
   readonly #crashes: NewsSharing<CrashNews>;
   readonly #limits: NewsSharing<readonly LimitRecord[]>;
   readonly #leaving: NewsSharing<readonly string[]>;
 
-  constructor(source: FleetNewsSource) {
-    const { clock, crashes, limits, leaving, links } = source;
-    this.#source = source;
+  constructor(options: FleetUpdatesOptions) {
+    const { clock, crashes, limits, leaving, links } = options;
+    this.#options = options;
     this.#crashes = new NewsSharing({
       clock,
-      gatherMs: GATHER_MS,
+      gatherMs: BATCH_INTERVAL_MS,
       links,
       all: () => crashes.all(),
-      merge: (several) => ({
-        records: several.flatMap((one) => one.records),
-        acquittals: several.flatMap((one) => one.acquittals),
+      merge: (batch) => ({
+        records: batch.flatMap((update) => update.records),
+        acquittals: batch.flatMap((update) => update.acquittals),
       }),
-      encode: (news) =>
-        news.records.length + news.acquittals.length > 0
-          ? encodeCrashes(news, clock.now())
+      encode: (update) =>
+        update.records.length + update.acquittals.length > 0
+          ? encodeCrashes(update, clock.now())
           : undefined,
     });
     this.#limits = new NewsSharing({
       clock,
-      gatherMs: LIMIT_GATHER_MS,
+      gatherMs: LIMIT_BATCH_INTERVAL_MS,
       links,
       all: () => limits.all(),
-      merge: (several) => newestOf(several.flat()),
-      encode: (news) =>
-        news.length > 0 ? encodeLimits(news, clock.now()) : undefined,
+      merge: (batch) => latestByReplica(batch.flat()),
+      encode: (records) =>
+        records.length > 0 ? encodeLimits(records, clock.now()) : undefined,
     });
     this.#leaving = new NewsSharing<readonly string[]>({
       clock,
-      gatherMs: GATHER_MS,
+      gatherMs: BATCH_INTERVAL_MS,
       links,
       all: () => leaving.all(),
-      merge: (several) => several.flat(),
+      merge: (batch) => batch.flat(),
       encode: (incarnations) =>
         incarnations.length > 0 ? { type: "leaving", incarnations } : undefined,
     });
-    crashes.listen((news, from) => this.#crashes.share(news, from));
-    limits.listen((news, from) => this.#limits.share(news, from));
-    leaving.listen((news, from) => this.#leaving.share(news, from));
+    crashes.listen((update, from) => this.#crashes.share(update, from));
+    limits.listen((records, from) => this.#limits.share(records, from));
+    leaving.listen((incarnations, from) =>
+      this.#leaving.share(incarnations, from)
+    );
   }
 
   greet(link: Link): void {
@@ -123,8 +128,8 @@
     this.#leaving.greet(link);
   }
 
-  take(link: Link, message: NewsMessage): void {
-    const { clock, crashes, limits, leaving } = this.#source;
+  take(link: Link, message: UpdateMessage): void {
+    const { clock, crashes, limits, leaving } = this.#options;
     const now = clock.now();
     switch (message.type) {
       case "crashes":
@@ -137,7 +142,9 @@
   }
 }
 
-/** The last record of each replica. */
-function newestOf(records: readonly LimitRecord[]): LimitRecord[] {
-  return [...new Map(records.map((one) => [one.incarnation, one])).values()];
+/** Keeps the last record of each replica. */
+function latestByReplica(records: readonly LimitRecord[]): LimitRecord[] {
+  return [
+    ...new Map(records.map((record) => [record.incarnation, record])).values(),
+  ];
 }
--- a/src/gateway/state/fleet_state.ts
+++ b/src/gateway/state/fleet_state.ts
@@ -1,6 +1,6 @@
 /**
- * What this host knows of the store: it reads the store itself, follows a host
- * that does, or asks peers, and tells what it knows to those that follow it.
+ * Keeps the store state of this host up to date: reads the store, follows another
+ * host or requests state from peers, and reports the state to followers.
  */
 import type { Milliseconds } from "../../util/units.ts";
 import type { GatewayContext } from "../context.ts";
@@ -12,14 +12,14 @@
 import type { RouteConfig } from "../routing/model.ts";
 import type { JsonClient } from "../upstreams/json_client.ts";
 import { ConfigCatchup } from "./config_catchup.ts";
-import { FleetNews } from "./fleet_news.ts";
-import { HallFollower, type ReaderWord } from "./hall_follower.ts";
+import { FleetUpdates } from "./fleet_news.ts";
+import { HallFollower, type ReaderReport } from "./hall_follower.ts";
 import { StateServer } from "./state_server.ts";
 import { StoreLoops, type StoreTimes } from "./store_loops.ts";
 import { Synchronizer } from "./synchronizer.ts";
 
-/** What the state of the fleet is read from and told to. */
-export type FleetStateSource = {
+/** Options of {@link FleetState}. */
+export type FleetStateOptions = {
   readonly context: GatewayContext;
   readonly self: HostEntry;
   readonly directory: HostDirectory;
@@ -27,36 +27,37 @@
   readonly times: StoreTimes;
   /** Opens a link to a reader. */
   readonly openLink: (target: LinkTarget, events: LinkEvents) => Link;
-  /** Makes a client of a peer's address. */
+  /** Creates a client for a peer's address. */
   readonly createClient: (address: string) => JsonClient;
-  /** A configuration has come into force. */
+  /** Called when a configuration has come into force. */
   readonly onConfig: (config: RouteConfig) => void;
 };
 
-/** Reads, follows, asks and tells, for as long as the process lives. */
+/** Creates the components that synchronize the store state, and starts them. */
 export class FleetState {
-  /** The links of the hosts that follow this one. */
+  /** Serves the hosts that follow this one. */
   readonly server: StateServer;
-  readonly #source: FleetStateSource;
+  readonly #options: FleetStateOptions;
   readonly #synchronizer: Synchronizer;
   readonly #follower: HallFollower;
   readonly #storeLoops: StoreLoops;
   readonly #questions: PeerQuestions;
   readonly #catchup: ConfigCatchup;
 
-  constructor(source: FleetStateSource) {
-    const { context, self, directory, store, times, openLink } = source;
-    this.#source = source;
+  constructor(options: FleetStateOptions) {
+    const { context, self, directory, store, times, openLink } = options;
+    this.#options = options;
     const synchronizer = new Synchronizer({
       context,
-      onConfig: source.onConfig,
-      onNews: (news) => this.#catchup.heard(news),
-      onChange: () => this.server.tell(),
+      onConfig: options.onConfig,
+      onVersionAnnounced: (announcement) =>
+        this.#catchup.noteVersion(announcement),
+      onChange: () => this.server.broadcast(),
       onLeaving: (incarnations) => context.leaving.listed(incarnations),
       isRelay: () => this.#follower.isRelay,
     });
     this.#synchronizer = synchronizer;
-    const news = new FleetNews({
+    const updates = new FleetUpdates({
       clock: context.clock,
       crashes: context.crashes,
       limits: context.limits,
@@ -67,17 +68,17 @@
       context,
       self,
       directory,
-      news,
-      storeAgeMs: (now) => synchronizer.tellableAgeMs(now),
+      updates,
+      storeAgeMs: (now) => synchronizer.reportableAgeMs(now),
       configAgeMs: (now) => synchronizer.configAgeMs(now),
     });
     this.#follower = new HallFollower({
       context,
       self,
       directory,
-      news,
+      updates,
       openLink,
-      onState: (word) => this.#takeState(word),
+      onReport: (report) => this.#applyReport(report),
     });
     this.#storeLoops = new StoreLoops({
       context,
@@ -90,26 +91,26 @@
       context,
       directory,
       synchronizer,
-      createClient: source.createClient,
+      createClient: options.createClient,
     });
-    context.suspensions.listen((forMs) => this.#wake(forMs));
+    context.suspensions.listen((forMs) => this.#handleSuspension(forMs));
     this.#catchup = new ConfigCatchup({
       context,
       directory,
       readStore: () => this.#storeLoops.readConfig(),
-      askPeer: (address) => this.#questions.ask(address, PeerSubject.config),
+      requestFromPeer: (address) =>
+        this.#questions.ask(address, PeerSubject.config),
     });
   }
 
-  #wake(forMs: Milliseconds): void {
-    this.#synchronizer.forgetAges(forMs);
-    this.#follower.forgetClocks();
-    this.#storeLoops.forgetClock();
+  #handleSuspension(forMs: Milliseconds): void {
+    this.#synchronizer.resetAges(forMs);
+    this.#follower.resetClocks();
+    this.#storeLoops.resetClock();
   }
 
-  /** Starts all loops. */
   start(): void {
-    const { context, self, directory, store } = this.#source;
+    const { context, self, directory, store } = this.#options;
     const follower = this.#follower;
     startPeerLoops({
       context,
@@ -125,32 +126,32 @@
     follower.start();
   }
 
-  /** The store is not called any more. */
+  /** Stops all calls to the store. */
   stop(): void {
     this.#storeLoops.stop();
     this.#catchup.stop();
   }
 
-  /** Age of the newest answer of the store; Infinity before the first. */
+  /** Age of the newest known store state; Infinity before the first. */
   storeAgeMs(now: Milliseconds): Milliseconds {
     return this.#synchronizer.storeAgeMs(now);
   }
 
   /**
-   * Age of the newest answer that no newer configuration than ours was in the
-   * store; Infinity before the first.
+   * Time since the local configuration was last known to be the store's newest;
+   * Infinity before the first time.
    */
   configAgeMs(now: Milliseconds): Milliseconds {
     return this.#synchronizer.configAgeMs(now);
   }
 
-  /** Takes the report of the reader; false: its listing has a gap. */
-  #takeState(word: ReaderWord): boolean {
-    const { context: { clock }, directory } = this.#source;
-    const { hosts, hostsGone } = word.message;
+  /** Applies a report of the reader; false: its listing has a gap. */
+  #applyReport(report: ReaderReport): boolean {
+    const { context: { clock }, directory } = this.#options;
+    const { hosts, hostsGone } = report.message;
     directory.refresh(clock.now());
     if (hosts) directory.learn(hosts, clock.now());
     if (hostsGone) directory.forget(hostsGone);
-    return this.#synchronizer.takeState(word);
+    return this.#synchronizer.applyReport(report);
   }
 }
--- a/src/gateway/state/hall_follower.ts
+++ b/src/gateway/state/hall_follower.ts
@@ -1,7 +1,7 @@
 /**
- * Follows another host's word of the store, so that one host calls the store
- * in place of all (see reader_choice). A reader that falls silent, or that the
- * store does not answer while it answers this host, is left for the next.
+ * Receives the store state from another host, so that one host reads the store for
+ * the whole fleet (see reader_choice). Switches to the next reader if the current
+ * one does not respond, or if the store responds to this host but not to it.
  */
 import type { HostId } from "../../util/ids.ts";
 import type { Milliseconds } from "../../util/units.ts";
@@ -17,64 +17,66 @@
 } from "../peers/link.ts";
 import { RemoteClock } from "../peers/remote_clock.ts";
 import type { HostEntry } from "../port.ts";
-import { isNews, type News } from "./fleet_news.ts";
+import { isUpdate, type News } from "./fleet_news.ts";
 import { chooseReader } from "./reader_choice.ts";
 import { ReaderMessageSchema, type StateMessage } from "./state_messages.ts";
 
-/** How often the reader is chosen anew; it is also when its link ends. */
-const LOOK_MS = 1000;
-/** A starting host looks this often whether it has its first listing. */
-const FIRST_LOOK_MS = 100;
-/** A reader is given so long to tell something fresh. */
-const STALE_MS = 1500;
-/** A word of the store up to this age is fresh: a listing each 700 ms. */
-const FRESH_MS = 1000;
-/** A reader that was of no use is not chosen for this time. */
-const SUSPECT_MS = 3000;
-/** A host to which no link came about is tried again after this time. */
-const UNREACHED_MS = 1000;
+/** Interval at which the reader is chosen again, also while its link is open. */
+const CHECK_INTERVAL_MS = 1000;
+/** Interval at which a starting host checks for its first listing. */
+const STARTUP_CHECK_INTERVAL_MS = 100;
+/** Time within which a new reader must send a fresh report. */
+const REPORT_TIMEOUT_MS = 1500;
+/** Maximum age of a fresh report; more than the listing interval. */
+const MAX_REPORT_AGE_MS = 1000;
+/** Time for which a reader that failed is not chosen again. */
+const SUSPECT_TTL_MS = 3000;
+/** Time for which a host is not chosen after a link to it could not be opened. */
+const UNREACHABLE_TTL_MS = 1000;
 
 /**
- * The reader's clock is read anew this often: with a drift of 500 ppm its
- * moments are then known to within 15 ms.
+ * Interval at which the offset of the reader's clock is determined; bounds the
+ * error at 15 ms for a drift of 500 ppm.
  */
-const CLOCK_SYNC_MS = 30_000;
+const CLOCK_SYNC_INTERVAL_MS = 30_000;
 
 /**
- * A starting host lists the replicas itself, so that its reader tells it only
- * what has changed since. A whole listing for each of many followers at once
- * would keep a reader's link busy for seconds. A host that has none by then
- * follows without.
+ * Time for which a starting host waits for its own first listing before it follows
+ * a reader. The reader then only sends changes; full listings for many followers
+ * at once would saturate its uplink.
  */
-const ALONE_MS = 2000;
+const FIRST_LISTING_TIMEOUT_MS = 2000;
 
-/** What a reader has told. */
-export type ReaderWord = {
+/** A report of a reader. */
+export type ReaderReport = {
   readonly reader: HostId;
   /** The reader's address. */
   readonly address: string;
   readonly message: StateMessage;
-  /** The moment of its word of the configuration, by this host's clock. */
+  /**
+   * Time by this host's clock at which the store had no newer configuration than
+   * the reader; undefined: unknown.
+   */
   readonly configAsOf: Milliseconds | undefined;
 };
 
-/** What a follower is made from. */
-export type HallFollowerSource = {
+/** Options of {@link HallFollower}. */
+export type HallFollowerOptions = {
   readonly context: Pick<
     GatewayContext,
     "clock" | "suspensions" | "events" | "replicas" | "routes"
   >;
   readonly self: HostEntry;
   readonly directory: HostDirectory;
-  readonly news: News;
+  readonly updates: News;
   /** Opens a link to a reader. */
   readonly openLink: (target: LinkTarget, events: LinkEvents) => Link;
-  /** Takes the reader's report; false: its listing does not follow on ours. */
-  onState(word: ReaderWord): boolean;
+  /** Applies a report; false: its listing doesn't continue the local one. */
+  onReport(report: ReaderReport): boolean;
 };
 
 /** A link to a host that may become the reader. */
-type NextLink = {
+type CandidateLink = {
   readonly reader: HostId;
   readonly address: string;
   readonly link: Link;
@@ -82,105 +84,111 @@
   readonly openedAt: Milliseconds;
 };
 
-/** The link to the host that this one follows. */
+/** Chooses a reader, keeps a link to it and receives its reports. */
 export class HallFollower {
-  readonly #source: HallFollowerSource;
+  readonly #options: HallFollowerOptions;
   readonly #orders: HostOrders;
   readonly #suspects = new Map<HostId, Milliseconds>();
-  /** Of the hosts to which links stand. */
+  /** Clocks of the hosts to which links are open. */
   readonly #clocks = new Set<RemoteClock>();
   #reader: HostId;
   #link: Link | undefined;
-  /** Takes the other's place once it has told a fresh word of the store. */
-  #next: NextLink | undefined;
+  /** Replaces `#link` once it has sent a fresh report. */
+  #candidate: CandidateLink | undefined;
   #startedAt: Milliseconds | undefined;
   #openedAt: Milliseconds = 0;
   #syncedAt: Milliseconds = 0;
 
-  constructor(source: HallFollowerSource) {
-    this.#source = source;
-    this.#orders = new HostOrders(source.self.id);
-    this.#reader = source.self.id;
+  constructor(options: HallFollowerOptions) {
+    this.#options = options;
+    this.#orders = new HostOrders(options.self.id);
+    this.#reader = options.self.id;
   }
 
-  /** The host that reads for this one; this one itself, or another. */
+  /** The host that this one follows; its own id if it reads the store itself. */
   get reader(): HostId {
     return this.#reader;
   }
 
-  /** The links to the host that this one follows, and to the next one. */
+  /** The links to the reader and to the candidate. */
   get links(): Link[] {
-    return [this.#link, this.#next?.link].filter((one) => one !== undefined);
+    return [this.#link, this.#candidate?.link].filter((link) =>
+      link !== undefined
+    );
   }
 
-  /** This host's clock stood still: its readers' clocks are read anew. */
-  forgetClocks(): void {
-    const { clock } = this.#source.context;
-    for (const one of this.#clocks) one.forget();
+  /** Discards the readers' clock offsets after a suspension, and requests new ones. */
+  resetClocks(): void {
+    const { clock } = this.#options.context;
+    for (const remote of this.#clocks) remote.forget();
     this.#syncedAt = -Infinity;
     this.#syncClock(clock.now());
-    this.#next?.link.send({ type: "sync", sentAt: clock.now() });
+    this.#candidate?.link.send({ type: "sync", sentAt: clock.now() });
   }
 
-  /** Whether this host relays between the reader of the fleet and its hall. */
+  /** Whether this host follows a reader in another hall and relays to its own. */
   get isRelay(): boolean {
-    const { self, directory } = this.#source;
+    const { self, directory } = this.#options;
     if (this.#reader === self.id) return false;
     const reader = directory.get(this.#reader);
     return reader !== undefined && reader.hall !== self.hall;
   }
 
-  /** Chooses a reader again and again. */
+  /** Chooses a reader, now and periodically. */
   start(): void {
-    const { clock, replicas } = this.#source.context;
+    const { clock, replicas } = this.#options.context;
     this.#startedAt ??= clock.now();
     const isListed = replicas.revision >= 0;
-    const isAlone = !isListed && clock.now() - this.#startedAt < ALONE_MS;
-    if (!isAlone) this.#look();
-    clock.after(isAlone ? FIRST_LOOK_MS : LOOK_MS, () => this.start());
+    const isWaiting = !isListed &&
+      clock.now() - this.#startedAt < FIRST_LISTING_TIMEOUT_MS;
+    if (!isWaiting) this.#updateReader();
+    clock.after(
+      isWaiting ? STARTUP_CHECK_INTERVAL_MS : CHECK_INTERVAL_MS,
+      () => this.start(),
+    );
   }
 
-  /** The reader has nothing fresh to tell: the next one is followed. */
+  /** Leaves the reader, unless it was chosen less than `REPORT_TIMEOUT_MS` ago. */
   leaveIfStale(reason: string): void {
-    const openMs = this.#source.context.clock.now() - this.#openedAt;
-    if (openMs > STALE_MS) this.#leave(reason);
+    const openMs = this.#options.context.clock.now() - this.#openedAt;
+    if (openMs > REPORT_TIMEOUT_MS) this.#leave(reason);
   }
 
   #leave(reason: string): void {
-    const { self, context } = this.#source;
+    const { self, context } = this.#options;
     if (this.#reader === self.id) return;
     const reader = this.#reader;
     context.events.note("readerLeft", { reader, reason });
-    this.#suspects.set(reader, context.clock.now() + SUSPECT_MS);
+    this.#suspects.set(reader, context.clock.now() + SUSPECT_TTL_MS);
     this.#close();
-    this.#look();
+    this.#updateReader();
   }
 
-  #look(): void {
-    const { self, directory, context } = this.#source;
+  #updateReader(): void {
+    const { self, directory, context } = this.#options;
     const now = context.clock.now();
     this.#syncClock(now);
-    this.#dropStaleNext(now);
+    this.#dropStaleCandidate(now);
     const hosts = directory.entries();
     const isSuspect = (id: HostId) => now < (this.#suspects.get(id) ?? 0);
     const orders = this.#orders;
     const reader = chooseReader({ self, hosts, orders, isSuspect });
-    if (reader === (this.#next?.reader ?? this.#reader)) return;
-    this.#dropNext();
+    if (reader === (this.#candidate?.reader ?? this.#reader)) return;
+    this.#dropCandidate();
     if (reader === this.#reader) return;
     const host = directory.get(reader);
     if (!host) return this.#close();
-    this.#next = { ...this.#open(host), openedAt: now };
+    this.#candidate = { ...this.#open(host), openedAt: now };
   }
 
   #syncClock(now: Milliseconds): void {
-    if (!this.#link || now - this.#syncedAt < CLOCK_SYNC_MS) return;
+    if (!this.#link || now - this.#syncedAt < CLOCK_SYNC_INTERVAL_MS) return;
     this.#syncedAt = now;
     this.#link.send({ type: "sync", sentAt: now });
   }
 
-  #open(host: HostEntry): Omit<NextLink, "openedAt"> {
-    const { self, context, openLink } = this.#source;
+  #open(host: HostEntry): Omit<CandidateLink, "openedAt"> {
+    const { self, context, openLink } = this.#options;
     const target = {
       address: host.address,
       path: LinkPath.state,
@@ -189,36 +197,36 @@
     };
     const clock = new RemoteClock();
     this.#clocks.add(clock);
-    const named = { reader: host.id, address: host.address };
+    const identity = { reader: host.id, address: host.address };
     const link: Link = openLink(target, {
       ready: () => {
         this.#follow(link, context.replicas.base);
-        this.#source.news.greet(link);
+        this.#options.updates.greet(link);
       },
-      line: (text) => this.#take(text, { link, clock, ...named }),
+      line: (text) => this.#receive(text, { link, clock, ...identity }),
       closed: () => {
         this.#clocks.delete(clock);
-        this.#ended(link);
+        this.#handleLinkEnd(link);
       },
     });
-    return { link, clock, ...named };
+    return { link, clock, ...identity };
   }
 
-  /** The new link tells a fresh word: the old one is left. */
-  #change(next: NextLink): void {
-    const { context } = this.#source;
-    const { reader } = next;
-    this.#next = undefined;
+  /** Makes the candidate the reader and closes the link to the previous one. */
+  #switchTo(candidate: CandidateLink): void {
+    const { context } = this.#options;
+    const { reader } = candidate;
+    this.#candidate = undefined;
     this.#close();
     this.#reader = reader;
-    this.#link = next.link;
+    this.#link = candidate.link;
     this.#openedAt = context.clock.now();
     this.#syncedAt = this.#openedAt;
     context.events.note("readerChosen", { reader });
   }
 
   #follow(link: Link, revision: number): void {
-    const { context: { clock, routes }, self } = this.#source;
+    const { context: { clock, routes }, self } = this.#options;
     link.send({
       type: "follow",
       revision,
@@ -228,51 +236,56 @@
     });
   }
 
-  #ended(link: Link): void {
+  #handleLinkEnd(link: Link): void {
     if (this.#link === link) return this.#leave("The link ended");
-    if (this.#next?.link !== link) return;
-    const until = this.#source.context.clock.now() + UNREACHED_MS;
-    this.#suspects.set(this.#next.reader, until);
-    this.#next = undefined;
-    this.#look();
+    if (this.#candidate?.link !== link) return;
+    const until = this.#options.context.clock.now() + UNREACHABLE_TTL_MS;
+    this.#suspects.set(this.#candidate.reader, until);
+    this.#candidate = undefined;
+    this.#updateReader();
   }
 
-  /** A host that has nothing fresh to tell is passed over for a while. */
-  #dropStaleNext(now: Milliseconds): void {
-    if (!this.#next || now - this.#next.openedAt < STALE_MS) return;
-    this.#suspects.set(this.#next.reader, now + SUSPECT_MS);
-    this.#dropNext();
+  /** Drops a candidate that has sent no fresh report in time. */
+  #dropStaleCandidate(now: Milliseconds): void {
+    if (
+      !this.#candidate || now - this.#candidate.openedAt < REPORT_TIMEOUT_MS
+    ) return;
+    this.#suspects.set(this.#candidate.reader, now + SUSPECT_TTL_MS);
+    this.#dropCandidate();
   }
 
-  #dropNext(): void {
-    const next = this.#next;
-    this.#next = undefined;
-    next?.link.close();
+  #dropCandidate(): void {
+    const candidate = this.#candidate;
+    this.#candidate = undefined;
+    candidate?.link.close();
   }
 
-  #take(text: string, from: Omit<NextLink, "openedAt">): void {
+  #receive(text: string, sender: Omit<CandidateLink, "openedAt">): void {
     const message = readJson(ReaderMessageSchema, text);
-    // What lay in a buffer while this host slept was told before its end.
-    this.#source.context.suspensions.check();
-    const { link, reader, address } = from;
+    // Detects a suspension first: the message may have been buffered during it.
+    this.#options.context.suspensions.check();
+    const { link, reader, address } = sender;
     if (!message) return;
-    if (isNews(message)) return this.#source.news.take(link, message);
+    if (isUpdate(message)) return this.#options.updates.take(link, message);
     if (message.type !== "state") return;
-    const now = this.#source.context.clock.now();
-    if (message.echo) from.clock.note(message.echo, now);
+    const now = this.#options.context.clock.now();
+    if (message.echo) sender.clock.note(message.echo, now);
     const configAsOf = message.configAsOf === undefined
       ? undefined
-      : from.clock.toLocal(message.configAsOf, now);
-    const isFresh = message.ageMs !== undefined && message.ageMs <= FRESH_MS;
-    if (this.#next?.link === link && isFresh) this.#change(this.#next);
-    const word = { reader, address, message, configAsOf };
-    if (!this.#source.onState(word)) this.#follow(link, -1);
+      : sender.clock.toLocal(message.configAsOf, now);
+    const isFresh = message.ageMs !== undefined &&
+      message.ageMs <= MAX_REPORT_AGE_MS;
+    if (this.#candidate?.link === link && isFresh) {
+      this.#switchTo(this.#candidate);
+    }
+    const report = { reader, address, message, configAsOf };
+    if (!this.#options.onReport(report)) this.#follow(link, -1);
   }
 
   #close(): void {
     const link = this.#link;
     this.#link = undefined;
-    this.#reader = this.#source.self.id;
+    this.#reader = this.#options.self.id;
     link?.close();
   }
 }
--- a/src/gateway/state/state_server.ts
+++ b/src/gateway/state/state_server.ts
@@ -1,4 +1,4 @@
-/** Tells followers what this host knows of the store, as soon as it changes. */
+/** Sends the store state of this host to its followers whenever it changes. */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { HostId } from "../../util/ids.ts";
 import type { Milliseconds } from "../../util/units.ts";
@@ -9,81 +9,82 @@
 import { acceptLink, type Link, type LinkEvents } from "../peers/link.ts";
 import type { HostEntry } from "../port.ts";
 import type { RouteConfig } from "../routing/model.ts";
-import { isNews, type News } from "./fleet_news.ts";
+import { isUpdate, type News } from "./fleet_news.ts";
 import {
   encodeState,
   FollowerMessageSchema,
   type StateMessage,
 } from "./state_messages.ts";
 
-/**
- * Followers that were told nothing for so long are told again: what the store
- * says anew goes out at once, so this is for when it says nothing.
- */
-const STATE_MS = 1000;
+/** Interval at which the state is sent again while it does not change. */
+const RESEND_INTERVAL_MS = 1000;
 
 /**
- * A larger configuration isn't told: its followers hear of the version and read
- * it themselves. For each of a reader's followers at once it would keep the
- * reader's link busy for longer than a configuration may take to be in force.
+ * Followers fetch a larger configuration themselves after its version is
+ * announced. Sending it to all followers at once would saturate the host's uplink
+ * for longer than a configuration may take to come into force.
  */
-const MOST_CONFIG_BYTES = 32 * 1024;
+const MAX_CONFIG_BYTES = 32 * 1024;
 
-/** What the server tells from. */
-export type StateServerSource = {
+/** Options of {@link StateServer}. */
+export type StateServerOptions = {
   readonly context: Pick<
     GatewayContext,
     "clock" | "routes" | "replicas" | "eras"
   >;
   readonly self: HostEntry;
   readonly directory: HostDirectory;
-  readonly news: News;
-  /** Age of what this host knows of the store; Infinity: none to be told. */
+  readonly updates: News;
+  /** Age of the store state to report; Infinity: none is reported. */
   storeAgeMs(now: Milliseconds): Milliseconds;
-  /** Age of what this host knows of the configuration; Infinity: it has none. */
+  /**
+   * Time since the local configuration was last known to be the store's newest;
+   * Infinity: never.
+   */
   configAgeMs(now: Milliseconds): Milliseconds;
 };
 
 type Follower = {
   readonly link: Link;
-  /** Revision of its listing; undefined until it has told. */
+  /** Revision of its listing; undefined before its first message. */
   revision: number | undefined;
   /** Version of its configuration. */
   version: number;
-  /** Not yet sent. */
+  /** Clock echo to include in the next message. */
   echo: ClockEcho | undefined;
   host: HostEntry | undefined;
-  toldAt: Milliseconds;
-  readonly hosts: Map<HostId, string>;
-  /** The directory's entries that `hosts` was made from. */
-  from: readonly HostEntry[] | undefined;
+  lastSentAt: Milliseconds;
+  /** Addresses of the hosts that were sent to it. */
+  readonly sentHosts: Map<HostId, string>;
+  /** The directory's entries as of the last message. */
+  sentEntries: readonly HostEntry[] | undefined;
 };
 
-/** The followers of this host. */
+/** Serves the followers of this host. */
 export class StateServer {
-  readonly #source: StateServerSource;
+  readonly #options: StateServerOptions;
   readonly #followers = new Set<Follower>();
-  /** The configuration that was measured last. */
-  #measured: RouteConfig | undefined;
-  #isSmall = false;
+  /** The configuration whose size was measured last. */
+  #measuredConfig: RouteConfig | undefined;
+  #isMeasuredSmall = false;
 
-  constructor(source: StateServerSource) {
-    this.#source = source;
-    this.#repeat();
+  constructor(options: StateServerOptions) {
+    this.#options = options;
+    this.#scheduleResend();
   }
 
   /** Serves a link that a follower has opened. */
-  accept(incoming: IncomingMessage, answer: ServerResponse): void {
-    answer.writeHead(200, { "Content-Type": "application/x-ndjson" });
-    answer.flushHeaders();
-    const { clock } = this.#source.context;
-    this.join((events) => acceptLink(incoming, answer, { clock, events }));
+  accept(request: IncomingMessage, response: ServerResponse): void {
+    response.writeHead(200, { "Content-Type": "application/x-ndjson" });
+    response.flushHeaders();
+    const { clock } = this.#options.context;
+    this.join((events) => acceptLink(request, response, { clock, events }));
   }
 
-  /** Serves a follower over the link that `open` makes. */
+  /** Serves a follower over the link that `open` creates. */
   join(open: (events: LinkEvents) => Link): void {
     const link = open({
-      line: (text) => this.#take(follower, text),
+      line: (text) => this.#receive(follower, text),
       closed: () => this.#followers.delete(follower),
     });
     const follower: Follower = {
@@ -92,14 +93,14 @@
       version: 0,
       echo: undefined,
       host: undefined,
-      toldAt: -Infinity,
-      hosts: new Map(),
-      from: undefined,
+      lastSentAt: -Infinity,
+      sentHosts: new Map(),
+      sentEntries: undefined,
     };
     this.#followers.add(follower);
   }
 
-  /** The hosts that follow this one now. */
+  /** The hosts that follow this one. */
   get hosts(): HostEntry[] {
     return [...this.#followers].flatMap(({ host }) => host ? [host] : []);
   }
@@ -110,31 +111,31 @@
       .map(({ link }) => link);
   }
 
-  /** Something has changed: all followers are told now. */
-  tell(): void {
+  /** Sends the state to all followers. */
+  broadcast(): void {
     for (const follower of this.#followers) this.#send(follower);
   }
 
-  #repeat(): void {
-    const { clock } = this.#source.context;
-    clock.after(STATE_MS, () => {
-      const dueAt = clock.now() - STATE_MS;
+  #scheduleResend(): void {
+    const { clock } = this.#options.context;
+    clock.after(RESEND_INTERVAL_MS, () => {
+      const dueAt = clock.now() - RESEND_INTERVAL_MS;
       for (const follower of this.#followers) {
-        if (follower.toldAt <= dueAt) this.#send(follower);
+        if (follower.lastSentAt <= dueAt) this.#send(follower);
       }
-      this.#repeat();
+      this.#scheduleResend();
     });
   }
 
-  #take(follower: Follower, text: string): void {
+  #receive(follower: Follower, text: string): void {
     const message = readJson(FollowerMessageSchema, text);
     if (!message || message.type === "ping") return;
-    const { context, news, directory } = this.#source;
-    if (isNews(message)) return news.take(follower.link, message);
+    const { context, updates, directory } = this.#options;
+    if (isUpdate(message)) return updates.take(follower.link, message);
     const now = context.clock.now();
     follower.echo = { sentAt: message.sentAt, heardAt: now };
     if (message.type === "sync") return;
-    if (!follower.host) news.greet(follower.link);
+    if (!follower.host) updates.greet(follower.link);
     follower.revision = message.revision;
     follower.version = message.version;
     follower.host = message.host;
@@ -148,19 +149,19 @@
     if (message.listing) follower.revision = message.listing.revision;
     follower.version = Math.max(follower.version, message.version);
     follower.echo = undefined;
-    follower.toldAt = this.#source.context.clock.now();
+    follower.lastSentAt = this.#options.context.clock.now();
     follower.link.send(encodeState(message));
   }
 
   #messageFor(follower: Follower, revision: number): StateMessage {
-    const { context, storeAgeMs } = this.#source;
+    const { context, storeAgeMs } = this.#options;
     const { routes, replicas, clock, eras } = context;
     const age = storeAgeMs(clock.now());
     const isFresh = Number.isFinite(age);
     const isNewer = revision !== replicas.revision;
     const isSettled = eras.isSettled(clock.now());
-    // A listing that may be of an older copy isn't told, only that it is read: so
-    // followers keep what they know, and need not all list the replicas at once.
+    // A listing of an unsettled era may come from an older backup and is withheld.
+    // The age is still reported, so that followers don't all list the replicas.
     const listing = isFresh && isNewer && isSettled
       ? replicas.after(revision)
       : undefined;
@@ -180,7 +181,7 @@
   #configFor(
     follower: Follower,
   ): Pick<StateMessage, "config" | "configAsOf" | "newest"> {
-    const { context: { routes, clock }, configAgeMs } = this.#source;
+    const { context: { routes, clock }, configAgeMs } = this.#options;
     const now = clock.now();
     const asOf = Math.floor(now - configAgeMs(now));
     const isNewer = routes.version > follower.version;
@@ -188,34 +189,36 @@
     return {
       ...(Number.isFinite(asOf) ? { configAsOf: asOf } : {}),
       ...(routes.isBehind ? { newest: routes.newestVersion } : {}),
-      ...(config && this.#isTellable(config) ? { config } : {}),
+      ...(config && this.#isSmall(config) ? { config } : {}),
     };
   }
 
-  /** Whether a configuration is small enough to be told to all followers. */
-  #isTellable(config: RouteConfig): boolean {
-    if (this.#measured !== config) {
-      this.#measured = config;
+  /** Whether a configuration is small enough to be sent to all followers. */
+  #isSmall(config: RouteConfig): boolean {
+    if (this.#measuredConfig !== config) {
+      this.#measuredConfig = config;
       const bytes = Buffer.byteLength(JSON.stringify(config));
-      this.#isSmall = bytes <= MOST_CONFIG_BYTES;
+      this.#isMeasuredSmall = bytes <= MAX_CONFIG_BYTES;
     }
-    return this.#isSmall;
+    return this.#isMeasuredSmall;
   }
 
   #hostsFor(follower: Follower): Pick<StateMessage, "hosts" | "hostsGone"> {
-    const { self, directory } = this.#source;
+    const { self, directory } = this.#options;
     const entries = directory.entries();
-    if (follower.from === entries) return {};
-    follower.from = entries;
-    const now = [self, ...entries]
-      .filter((one) => one.id !== follower.host?.id);
-    const hosts = now.filter((one) =>
-      follower.hosts.get(one.id) !== one.address
+    if (follower.sentEntries === entries) return {};
+    follower.sentEntries = entries;
+    const current = [self, ...entries]
+      .filter((host) => host.id !== follower.host?.id);
+    const hosts = current.filter((host) =>
+      follower.sentHosts.get(host.id) !== host.address
+    );
+    const live = new Set(current.map((host) => host.id));
+    const hostsGone = [...follower.sentHosts.keys()].filter((id) =>
+      !live.has(id)
     );
-    const live = new Set(now.map((one) => one.id));
-    const hostsGone = [...follower.hosts.keys()].filter((id) => !live.has(id));
-    for (const one of hosts) follower.hosts.set(one.id, one.address);
-    for (const id of hostsGone) follower.hosts.delete(id);
+    for (const host of hosts) follower.sentHosts.set(host.id, host.address);
+    for (const id of hostsGone) follower.sentHosts.delete(id);
     return {
       ...(hosts.length > 0 ? { hosts } : {}),
       ...(hostsGone.length > 0 ? { hostsGone } : {}),
--- a/src/gateway/state/store_calls.ts
+++ b/src/gateway/state/store_calls.ts
@@ -1,34 +1,34 @@
 /**
- * Calls to the store: limited in time, counted, and dropped where the machine was
- * suspended meanwhile.
+ * Calls to the store, with timeouts and metrics. Discards the response of a call
+ * during which the machine was suspended.
  */
 import type { Milliseconds } from "../../util/units.ts";
 import type { GatewayContext } from "../context.ts";
 import { Timing } from "../observe/metrics.ts";
 import { within } from "./within.ts";
 
-/** What the calls need. */
-export type StoreCallsSource = Pick<
+/** Options of {@link StoreCalls}. */
+export type StoreCallsOptions = Pick<
   GatewayContext,
   "clock" | "events" | "metrics" | "suspensions"
 >;
 
 /** Makes calls to the store. */
 export class StoreCalls {
-  readonly #source: StoreCallsSource;
+  readonly #options: StoreCallsOptions;
 
-  constructor(source: StoreCallsSource) {
-    this.#source = source;
+  constructor(options: StoreCallsOptions) {
+    this.#options = options;
   }
 
-  /** Reads something; undefined where no good answer came in time. */
+  /** Makes a call; undefined if it fails or times out. */
   async read<Value>(
     work: (signal: AbortSignal) => Promise<Value>,
     timeoutMs: Milliseconds,
   ): Promise<Value | undefined> {
-    const { clock, metrics } = this.#source;
+    const { clock, metrics } = this.#options;
     const startedAt = clock.now();
-    const value = await this.#awake(() =>
+    const value = await this.#unlessSuspended(() =>
       within({
         clock,
         timeoutMs,
@@ -41,7 +41,10 @@
     return value;
   }
 
-  /** Holds a watch that `watch` can end; undefined as with {@link read}. */
+  /**
+   * Makes a long-polling call that aborting `watch` ends; undefined if it fails
+   * or times out.
+   */
   async watch<Value>(
     work: (signal: AbortSignal) => Promise<Value>,
     { watch, timeoutMs }: {
@@ -49,9 +52,9 @@
       readonly timeoutMs: Milliseconds;
     },
   ): Promise<Value | undefined> {
-    const cancel = this.#source.clock.after(timeoutMs, () => watch.abort());
+    const cancel = this.#options.clock.after(timeoutMs, () => watch.abort());
     try {
-      return await this.#awake(() => work(watch.signal));
+      return await this.#unlessSuspended(() => work(watch.signal));
     } catch (error) {
       this.#noteFault("watch", String(error));
       return undefined;
@@ -60,17 +63,17 @@
     }
   }
 
-  /** What was answered before this host slept says nothing of the present. */
-  async #awake<Value>(
+  /** Discards a value that may have been read before a suspension. */
+  async #unlessSuspended<Value>(
     work: () => Promise<Value>,
   ): Promise<Value | undefined> {
-    const { suspensions } = this.#source;
+    const { suspensions } = this.#options;
     const suspended = suspensions.check();
     const value = await work();
     return suspensions.check() === suspended ? value : undefined;
   }
 
   #noteFault(call: string, reason: string): void {
-    this.#source.events.note("callFailed", { call, reason });
+    this.#options.events.note("callFailed", { call, reason });
   }
 }
--- a/src/gateway/state/store_eras.ts
+++ b/src/gateway/state/store_eras.ts
@@ -1,10 +1,11 @@
 /**
- * The eras of the store: an era begins whenever the store comes back from an older
- * copy of itself. Its revisions go back with it, so what was read in an earlier era
- * is kept as a belief but never makes an answer of a later one look old.
+ * Tracks the eras of the store. A new era begins whenever the store is restored
+ * from an older backup, which also resets its revisions. State that was read in
+ * an earlier era stays in use, but never makes a response of a later era stale.
  *
- * For a while after its return the store lacks what is still being written again
- * and has what had already gone. Until then the era is not settled.
+ * Right after a restore the store lacks entries that have yet to be rewritten
+ * and contains entries that had already been deleted. The era is unsettled until
+ * `SETTLE_MS` have passed, or until another host reports it as settled.
  */
 import type { Milliseconds } from "../../util/units.ts";
 import type { EventLog } from "../observe/event_log.ts";
@@ -17,77 +18,81 @@
 } from "../position.ts";
 
 /**
- * What the operator and replicas wrote in the lost seconds is there again after
- * this time: entries that lapse while the store is away are back within about
- * two seconds, and nothing longer is published for those that a copy lacks.
+ * The operator and the replicas rewrite within this time what a restore has
+ * lost.
  */
 export const SETTLE_MS = 2000;
 
-/** What was known when a call to the store began. */
+/** The newest position known when a call to the store began. */
 export type CallStart = { readonly newest: Position };
 
-/** Told of each new era, after it is known. */
+/** Called after each change of the era. */
 export type EraListener = () => void;
 
-/** Which era it is, and since when that is known here. */
+/** The current era, and since when this host has known it. */
 export class StoreEras {
   readonly #events: EventLog;
   readonly #listeners: EraListener[] = [];
-  /** The latest place that was heard of. */
+  /** The newest position observed so far. */
   #newest: Position = -1;
-  #heardAt: Milliseconds = -Infinity;
+  #observedAt: Milliseconds = -Infinity;
   #settledAt: Milliseconds = -Infinity;
-  #isFirst = false;
-  /** As the store's last answer named it. */
-  #told: number | undefined;
+  #isFirstEra = false;
+  /** The era as the store's last response named it. */
+  #reportedEra: number | undefined;
 
   constructor(events: EventLog) {
     this.#events = events;
   }
 
-  /** Calls `listener` after each change of the era. */
   listen(listener: EraListener): void {
     this.#listeners.push(listener);
   }
 
-  /** The era now, as far as is known here; 0 where the store told none. */
+  /** The newest known era; 0 if the store has reported none. */
   get era(): number {
     return eraOf(this.#newest);
   }
 
-  /** A place of the present era as the store knows it. */
-  storePlace(position: Position): StorePlace {
-    const era = this.#told;
+  /** Converts a position of the current era to the store's own terms. */
+  toStorePosition(position: Position): StorePlace {
+    const era = this.#reportedEra;
     return {
       revision: revisionOf(position),
       ...(era === undefined ? {} : { era }),
     };
   }
 
-  /** What a call that begins now can't lie before, unless the store went back. */
-  start(): CallStart {
+  /**
+   * Snapshot for a call that begins now: its response can only have a lower
+   * position if the store is restored.
+   */
+  beginCall(): CallStart {
     return { newest: this.#newest };
   }
 
   /**
-   * The place of an answer, by what was known when its call began. A store that
-   * names no new era gives itself away: answers are linearizable, so one whose
-   * revision is lower than what was known before the call is of the next era.
-   * Dropped as older, such answers would leave a host deaf until the counter has
-   * passed the old place.
+   * The position of a response, given the snapshot from the start of its call.
+   * Also detects a restore when the store reports no new era: reads are
+   * linearizable, so a revision below the one known before the call belongs to
+   * the next era. If such responses were dropped as stale, the host would ignore
+   * the store until its revision exceeds the old one.
    */
-  place({ revision, era }: StorePlace, { newest }: CallStart): Position {
+  resolvePosition(
+    { revision, era }: StorePlace,
+    { newest }: CallStart,
+  ): Position {
     const known = eraOf(newest);
-    // A late answer of an earlier era names none that can be asked for now.
-    if (known === this.era) this.#told = era;
+    // A late response from an earlier era must not replace the reported era.
+    if (known === this.era) this.#reportedEra = era;
     if (era !== undefined && era > known) return positionOf(era, revision);
-    const isBack = revision < revisionOf(newest);
-    return positionOf(isBack ? known + 1 : known, revision);
+    const isRestored = revision < revisionOf(newest);
+    return positionOf(isRestored ? known + 1 : known, revision);
   }
 
   /**
-   * Somebody was told this place. With `isSettled`, by a host that has known its
-   * era for long enough.
+   * Records a position that the store or another host reported. `isSettled`: the
+   * reporting host considers the era settled.
    */
   hear(
     position: Position,
@@ -97,11 +102,13 @@
     const before = this.#newest;
     const isNew = eraOf(position) > this.era;
     this.#newest = Math.max(before, position);
-    if (!isNew) return isSettled ? this.settle(eraOf(position)) : undefined;
-    this.#isFirst = before < 0;
-    this.#heardAt = now;
+    if (!isNew) {
+      return isSettled ? this.markSettled(eraOf(position)) : undefined;
+    }
+    this.#isFirstEra = before < 0;
+    this.#observedAt = now;
     this.#settledAt = isSettled ? now : now + SETTLE_MS;
-    if (this.#isFirst) return;
+    if (this.#isFirstEra) return;
     this.#events.note("storeRestored", {
       era: this.era,
       before: eraOf(before),
@@ -111,31 +118,31 @@
     for (const listener of this.#listeners) listener();
   }
 
-  /** Somebody has known this era for long enough. */
-  settle(era: number): void {
+  /** Marks the era as settled if it is the current one. */
+  markSettled(era: number): void {
     if (era === this.era) this.#settledAt = -Infinity;
   }
 
-  /** How long until it is settled; 0 where it is. */
+  /** Time until the era is settled; 0 if it is. */
   unsettledForMs(now: Milliseconds): Milliseconds {
     return Math.max(0, this.#settledAt - now);
   }
 
-  /** By now all that the store had lost is surely written again. */
+  /** Whether everything that a restore lost is assumed to be rewritten. */
   isSettled(now: Milliseconds): boolean {
     return now >= this.#settledAt;
   }
 
   /**
-   * This host has known no earlier era and can't tell whether this one has just
-   * begun: others may know more than what it reads.
+   * Whether this host has known no earlier era and the current one may have just
+   * begun: other hosts may have newer state than the store.
    */
-  isUnproven(now: Milliseconds): boolean {
-    return this.#isFirst && !this.isSettled(now);
+  isUnverified(now: Milliseconds): boolean {
+    return this.#isFirstEra && !this.isSettled(now);
   }
 
-  /** How long the era has been known here; Infinity: there was none before. */
+  /** Time since this host first observed the era; Infinity before the first. */
   ageMs(now: Milliseconds): Milliseconds {
-    return now - this.#heardAt;
+    return now - this.#observedAt;
   }
 }
--- a/src/gateway/state/store_loops.ts
+++ b/src/gateway/state/store_loops.ts
@@ -1,7 +1,6 @@
 /**
- * Reads the store: replicas are listed again and again, the configuration is
- * watched. A host that another of its hall reads for only looks whether that
- * one's word is still fresh.
+ * Reads replicas and configuration from the store. A host that follows a reader
+ * makes no calls as long as the reader's reports are fresh.
  */
 import type { Milliseconds } from "../../util/units.ts";
 import { sleep } from "../clock.ts";
@@ -20,52 +19,51 @@
 import { StoreCalls } from "./store_calls.ts";
 import type { Synchronizer } from "./synchronizer.ts";
 
-/** Times of the loops. */
+/** Intervals and timeouts of the loops. */
 export type StoreTimes = {
-  /** Pause between two listings of replicas. */
+  /** Interval between two listings of replicas. */
   readonly listMs: Milliseconds;
-  /** Longest wait for an answer of the store. */
+  /** Timeout of a call to the store. */
   readonly timeoutMs: Milliseconds;
-  /** How long the store holds a watch that has nothing to tell. */
+  /** Time after which the store ends a watch without changes. */
   readonly watchMs: Milliseconds;
 };
 
-/** Least pause between two calls of the same kind. */
-const LEAST_PAUSE_MS = 250;
+/** Minimum pause between two calls of the same kind. */
+const MIN_PAUSE_MS = 250;
 /**
- * A host that follows another asks a store that is away ever less often: its
- * reader asks each 250 ms and tells it of the return. Its own calls only find
- * a store that turns the reader away and not this host.
+ * Initial and maximum backoff of a follower while the store is unavailable. The
+ * reader retries faster and reports the store's return, so that a follower's calls
+ * only matter while the store rejects the reader but not this host.
  */
 const FOLLOWER_PAUSE_MS = 900;
-const LONGEST_FOLLOWER_PAUSE_MS = 3600;
-/** Part of a pause that is random, so that hosts don't call in step. */
-const PAUSE_SPREAD = 0.4;
+const MAX_FOLLOWER_PAUSE_MS = 3600;
+/** Random share of a backoff, which keeps hosts from calling in lockstep. */
+const PAUSE_JITTER = 0.4;
 /**
- * A starting host that knows whom to follow lists each 1.3 s and not each 0.7 s
- * until it is told: its reader's first word is a few hundred ms away.
+ * Factor on the listing interval of a follower that has no fresh report, such as a
+ * starting host that waits for the first one.
  */
 const FOLLOWER_LIST_FACTOR = 1.8;
-/** Least pause before the freshness of the reader's word is looked at again. */
-const LOOK_MS = 50;
+/** Minimum interval at which the freshness of the reader's report is checked. */
+const MIN_CHECK_INTERVAL_MS = 50;
 
-/** Replicas that one answer of the store holds. */
-const CALL_REPLICAS = 500;
+/** Replicas per response of the store. */
+const REPLICAS_PER_RESPONSE = 500;
 /**
- * The first listing is given time for so many replicas: on a link of 7 Mbit/s
- * 1,000 of them take over half a second, and each host of a fleet that starts
- * lists them at the same time.
+ * Replicas that the timeout of the first listing allows for. Listings are slow
+ * while all hosts of a fleet start at the same time.
  */
 const FIRST_LIST_SIZE = 2000;
 
-/** How a reading of the listing went. */
-type Reading = "taken" | "older" | "lost";
+/** Outcome of reading the listing. */
+type ReadOutcome = "applied" | "older" | "failed";
 
-/** The store's steady clock and its place in one answer. */
-type TimedPlace = StorePlace & { readonly nowMs: Milliseconds };
+/** The store's steady clock and position in one response. */
+type TimedPosition = StorePlace & { readonly nowMs: Milliseconds };
 
-/** What the loops need. */
-export type StoreLoopsSource = {
+/** Options of {@link StoreLoops}. */
+export type StoreLoopsOptions = {
   readonly context: GatewayContext;
   readonly store: Store;
   readonly times: StoreTimes;
@@ -73,25 +71,25 @@
   readonly follower: HallFollower;
 };
 
-/** The loops of one process. */
+/** Reads the store for as long as the process runs. */
 export class StoreLoops {
-  readonly #source: StoreLoopsSource;
-  #stopped = false;
+  readonly #options: StoreLoopsOptions;
+  #isStopped = false;
   readonly #calls: StoreCalls;
   readonly #config: ConfigReader;
   readonly #faults: RowFaults;
-  /** Listings in a row that did not come. */
+  /** Consecutive failed listings. */
   #failures = 0;
   /** The store's steady clock. */
   readonly #storeClock = new RemoteClock();
-  /** What was last read from the store was surely true then. */
+  /** Time at which the data last read from the store was current. */
   #storeAsOf: Milliseconds = 0;
-  /** The table has the whole listing, so that changes of it are enough. */
-  #isWhole = false;
+  /** Whether the table has the full listing, so that reading changes suffices. */
+  #hasFullListing = false;
 
-  constructor(source: StoreLoopsSource) {
-    const { context, store, synchronizer, times } = source;
-    this.#source = source;
+  constructor(options: StoreLoopsOptions) {
+    const { context, store, synchronizer, times } = options;
+    this.#options = options;
     this.#faults = new RowFaults(context.events);
     this.#calls = new StoreCalls(context);
     this.#config = new ConfigReader({
@@ -102,58 +100,59 @@
       timeoutMs: times.timeoutMs,
       watchMs: times.watchMs,
     });
-    // The clock of a store that came back need not go on where it was.
-    context.eras.listen(() => this.forgetClock());
+    // The clock of a restored store may be a different one.
+    context.eras.listen(() => this.resetClock());
   }
 
-  /** Starts the loops. */
   start(): void {
     void this.#followReplicas();
     void this.#followConfig();
   }
 
-  /** Ends the loops. */
   stop(): void {
-    this.#stopped = true;
+    this.#isStopped = true;
     this.#config.endWatch();
   }
 
-  /** This host's clock stood still: the store's is read anew with a listing. */
-  forgetClock(): void {
+  /**
+   * Discards the store's clock offset after a suspension or a restore; the next
+   * full listing determines it again.
+   */
+  resetClock(): void {
     this.#storeClock.forget();
-    this.#isWhole = false;
+    this.#hasFullListing = false;
     this.#config.endWatch();
   }
 
-  /** Reads the configuration now; whether the store answered. */
+  /** Reads the configuration now; resolves with whether the store responded. */
   async readConfig(): Promise<boolean> {
     return await this.#config.read() !== undefined;
   }
 
   async #followReplicas(): Promise<void> {
-    const { context: { clock }, synchronizer } = this.#source;
-    while (!this.#stopped) {
+    const { context: { clock }, synchronizer } = this.#options;
+    while (!this.#isStopped) {
       const startedAt = clock.now();
       if (synchronizer.isTold(startedAt)) {
-        this.#isWhole = false;
-        await this.#sleepWhileTold();
+        this.#hasFullListing = false;
+        await this.#sleepWhileFresh();
         continue;
       }
-      const isWatch = this.#isWhole;
+      const isWatch = this.#hasFullListing;
       const answered = await this.#readReplicas();
       const spent = clock.now() - startedAt;
       await sleep(clock, this.#pauseMs({ answered, isWatch, spent }));
     }
   }
 
-  /** Sleeps until the reader's word would be stale if it said no more. */
-  async #sleepWhileTold(): Promise<void> {
-    const { context: { clock }, synchronizer } = this.#source;
+  /** Sleeps until the reader's last report expires. */
+  async #sleepWhileFresh(): Promise<void> {
+    const { context: { clock }, synchronizer } = this.#options;
     const freshMs = synchronizer.freshForMs(clock.now());
-    await sleep(clock, Math.max(LOOK_MS, freshMs));
+    await sleep(clock, Math.max(MIN_CHECK_INTERVAL_MS, freshMs));
   }
 
-  /** A watch has had its pause at the store already. */
+  /** Pause before the next read. A watch has already waited at the store. */
   #pauseMs(
     { answered, isWatch, spent }: {
       readonly answered: boolean;
@@ -161,28 +160,28 @@
       readonly spent: Milliseconds;
     },
   ): Milliseconds {
-    if (answered && (isWatch || this.#isWhole)) {
-      return Math.max(0, LEAST_PAUSE_MS - spent);
+    if (answered && (isWatch || this.#hasFullListing)) {
+      return Math.max(0, MIN_PAUSE_MS - spent);
     }
-    const pause = answered ? this.#answeredPauseMs() : this.#failedPauseMs();
-    const left = Math.max(LEAST_PAUSE_MS, pause - spent);
-    const { clock, eras } = this.#source.context;
+    const pause = answered ? this.#listPauseMs() : this.#failedPauseMs();
+    const left = Math.max(MIN_PAUSE_MS, pause - spent);
+    const { clock, eras } = this.#options.context;
     const unsettledMs = eras.unsettledForMs(clock.now());
-    // Followers wait for the first listing of a settled era.
+    // Lists as soon as the era is settled, since followers wait for that listing.
     return unsettledMs > 0 ? Math.min(left, unsettledMs) : left;
   }
 
-  /** Reads what changed in the listing, or the whole where that isn't enough. */
+  /** Reads the changes of the listing, or the full listing if that isn't enough. */
   async #readReplicas(): Promise<boolean> {
-    const { context, synchronizer, follower } = this.#source;
-    const read = this.#isWhole
+    const { context, synchronizer, follower } = this.#options;
+    const read = this.#hasFullListing
       ? await this.#watchReplicas()
       : await this.#listReplicas();
-    const answered = read === "taken";
-    if (read !== "older") synchronizer.noteStore(answered, this.#storeAsOf);
-    const isSettled = !synchronizer.keepsMissing(context.clock.now());
-    this.#isWhole = answered && isSettled && !this.#isFollower;
-    // A watch may hang on a dead connection: it is begun anew on return.
+    const answered = read === "applied";
+    if (read !== "older") synchronizer.noteStoreRead(answered, this.#storeAsOf);
+    const isSettled = !synchronizer.retainsMissing(context.clock.now());
+    this.#hasFullListing = answered && isSettled && !this.#isFollower;
+    // The watch may hang on a dead connection and is restarted.
     if (answered && this.#failures > 0) this.#config.endWatch();
     this.#failures = answered ? 0 : this.#failures + 1;
     if (answered && !synchronizer.isTold(context.clock.now())) {
@@ -191,31 +190,31 @@
     return answered;
   }
 
-  async #listReplicas(): Promise<Reading> {
-    const { context: { clock, eras }, store, synchronizer } = this.#source;
-    const askedAt = clock.now();
-    const start = eras.start();
+  async #listReplicas(): Promise<ReadOutcome> {
+    const { context: { clock, eras }, store, synchronizer } = this.#options;
+    const requestedAt = clock.now();
+    const start = eras.beginCall();
     const listing = await this.#calls.read(
       (signal) => store.readReplicas(signal),
       this.#listTimeoutMs(),
     );
-    if (!listing) return "lost";
+    if (!listing) return "failed";
     this.#faults.note(listing.faults);
     const { entries } = listing;
-    const revision = eras.place(listing, start);
-    // What is older than what is known here says nothing of the present.
+    const revision = eras.resolvePosition(listing, start);
+    // A listing older than the local state does not count as a read.
     if (!synchronizer.takeListing({ revision, entries }, "store")) {
       this.#noteOlder(listing, revision);
       return "older";
     }
-    const echo = { sentAt: askedAt, heardAt: listing.nowMs };
+    const echo = { sentAt: requestedAt, heardAt: listing.nowMs };
     this.#storeClock.note(echo, clock.now());
-    this.#storeAsOf = askedAt;
-    return "taken";
+    this.#storeAsOf = requestedAt;
+    return "applied";
   }
 
-  #noteOlder({ revision, nowMs }: TimedPlace, position: Position): void {
-    const { replicas, events } = this.#source.context;
+  #noteOlder({ revision, nowMs }: TimedPosition, position: Position): void {
+    const { replicas, events } = this.#options.context;
     events.note("listingOlder", {
       revision,
       era: eraOf(position),
@@ -225,80 +224,80 @@
     });
   }
 
-  /** A long listing comes in several answers, each with the time of a call. */
+  /** A long listing takes several responses, each with the timeout of a call. */
   #listTimeoutMs(): Milliseconds {
-    const { context: { replicas }, times } = this.#source;
+    const { context: { replicas }, times } = this.#options;
     const size = replicas.revision < 0 ? FIRST_LIST_SIZE : replicas.size;
-    return times.timeoutMs * Math.ceil((size + 1) / CALL_REPLICAS);
+    return times.timeoutMs * Math.ceil((size + 1) / REPLICAS_PER_RESPONSE);
   }
 
   /**
-   * Asks only for what changed: a listing of 3,000 replicas is more than a
-   * megabyte, longer than the call may take on a link of 10 Mbit/s.
+   * Reads only the changes: a full listing of a large fleet may take longer than
+   * the call's timeout on a slow link.
    */
-  async #watchReplicas(): Promise<Reading> {
+  async #watchReplicas(): Promise<ReadOutcome> {
     const { context: { clock, replicas, eras }, store, synchronizer, times } =
-      this.#source;
+      this.#options;
     const { listMs, timeoutMs } = times;
-    const start = eras.start();
+    const start = eras.beginCall();
     const since = replicas.revision;
-    const from = eras.storePlace(since);
+    const from = eras.toStorePosition(since);
     const read = await this.#calls.read(
       async (signal) =>
-        await store.watchReplicas(from, listMs, signal) ?? "forgotten",
+        await store.watchReplicas(from, listMs, signal) ?? "historyLost",
       listMs + timeoutMs,
     );
-    if (read === undefined) return "lost";
-    if (read === "forgotten") return this.#listReplicas();
+    if (read === undefined) return "failed";
+    if (read === "historyLost") return this.#listReplicas();
     this.#faults.note(read.faults);
     const { changed, gone } = read;
-    const revision = eras.place(read, start);
+    const revision = eras.resolvePosition(read, start);
     if (eraOf(revision) !== eraOf(since)) return this.#listReplicas();
-    if (!synchronizer.takeChanges({ since, revision, changed, gone })) {
+    if (!synchronizer.applyChanges({ since, revision, changed, gone })) {
       return "older";
     }
     const now = clock.now();
     this.#storeAsOf = this.#storeClock.toLocal(read.nowMs, now) ??
       this.#storeAsOf;
-    return "taken";
+    return "applied";
   }
 
   get #isFollower(): boolean {
-    const { context, follower } = this.#source;
+    const { context, follower } = this.#options;
     return follower.reader !== context.self.id;
   }
 
-  /** A follower whose reader has told nothing yet waits for it a little. */
-  #answeredPauseMs(): Milliseconds {
-    const { listMs } = this.#source.times;
+  /** A follower lists less often, since a report of its reader is likely. */
+  #listPauseMs(): Milliseconds {
+    const { listMs } = this.#options.times;
     return this.#isFollower ? listMs * FOLLOWER_LIST_FACTOR : listMs;
   }
 
   #failedPauseMs(): Milliseconds {
-    if (!this.#isFollower) return LEAST_PAUSE_MS;
+    if (!this.#isFollower) return MIN_PAUSE_MS;
     const doublings = Math.min(8, Math.max(0, this.#failures - 1));
     const pause = FOLLOWER_PAUSE_MS * 2 ** doublings;
-    const spread = 1 + this.#source.context.random() * PAUSE_SPREAD;
-    return Math.min(LONGEST_FOLLOWER_PAUSE_MS, pause) * spread;
+    const spread = 1 + this.#options.context.random() * PAUSE_JITTER;
+    return Math.min(MAX_FOLLOWER_PAUSE_MS, pause) * spread;
   }
 
   async #followConfig(): Promise<void> {
-    const { context: { clock, routes }, synchronizer } = this.#source;
-    let place: StorePlace | undefined;
-    while (!this.#stopped) {
+    const { context: { clock, routes }, synchronizer } = this.#options;
+    let position: StorePlace | undefined;
+    while (!this.#isStopped) {
       if (synchronizer.isTold(clock.now())) {
-        place = undefined;
-        await this.#sleepWhileTold();
+        position = undefined;
+        await this.#sleepWhileFresh();
         continue;
       }
-      // One loop is enough to find out when the store is back.
+      // The loop for replicas detects when the store is available again.
       if (this.#failures > 0 && routes.config !== undefined) {
-        await sleep(clock, LEAST_PAUSE_MS);
+        await sleep(clock, MIN_PAUSE_MS);
         continue;
       }
-      const reading = await this.#config.read(place);
+      const reading = await this.#config.read(position);
       if (!reading) await sleep(clock, this.#failedPauseMs());
-      place = reading?.place;
+      position = reading?.place;
     }
   }
 }
--- a/src/gateway/state/synchronizer.ts
+++ b/src/gateway/state/synchronizer.ts
@@ -1,7 +1,6 @@
 /**
- * What this host believes of the store: routes and replicas as they were read
- * here, told by the reader of the hall, or by peers. What was taken never
- * goes back.
+ * Applies store state from all sources to the local tables: from the store, from
+ * reports of the reader, and from peers. Never replaces newer state by older.
  */
 import type { Milliseconds } from "../../util/units.ts";
 import type { GatewayContext } from "../context.ts";
@@ -9,82 +8,82 @@
 import type { ListingChanges, ReplicaListing } from "../replicas/model.ts";
 import type { ListingChange } from "../replicas/replica_table.ts";
 import type { RouteConfig } from "../routing/model.ts";
-import type { VersionNews } from "./config_catchup.ts";
-import type { ReaderWord } from "./hall_follower.ts";
+import type { VersionAnnouncement } from "./config_catchup.ts";
+import type { ReaderReport } from "./hall_follower.ts";
 import { SETTLE_MS } from "./store_eras.ts";
 
-/** A word of the store that is older than this has to be read anew. */
-const FRESH_MS = 1300;
+/** A follower reads the store itself if its store state is older than this. */
+const MAX_REPORT_AGE_MS = 1300;
 /**
- * The relay of a hall reads anew sooner, so that its followers, who would all
- * call the store at once, hear from it before their own limit. A listing each
- * 700 ms is never that old while its reader is well.
+ * As `MAX_REPORT_AGE_MS`, for the relay of a hall. Lower, so that a relay reads the
+ * store before all its followers would do so at once.
  */
-const RELAY_FRESH_MS = 1000;
-/** What a synchronizer is made from. */
-export type SyncSource = {
+const MAX_RELAY_REPORT_AGE_MS = 1000;
+
+/** Options of {@link Synchronizer}. */
+export type SynchronizerOptions = {
   readonly context: GatewayContext;
   readonly onConfig: (config: RouteConfig) => void;
-  /** There is a version that this host does not hold. */
-  readonly onNews: (news: VersionNews) => void;
-  /** Routes or replicas have changed, or there is a newer word of the store. */
+  /** A configuration version exists that this host lacks. */
+  readonly onVersionAnnounced: (announcement: VersionAnnouncement) => void;
+  /** Routes or replicas have changed, or the store state was confirmed again. */
   readonly onChange: () => void;
-  /** Replicas leave, as a listing says that this host has just taken. */
+  /** A listing that this host has just applied contains draining replicas. */
   readonly onLeaving: (incarnations: readonly string[]) => void;
-  /** This host relays the word of the store to its hall. */
+  /** Whether this host relays the store state to its hall. */
   readonly isRelay: () => boolean;
 };
 
-/** What the reader of the hall has told. */
-type Told = {
+/** When the state in the reader's last report was current. */
+type ReportTime = {
   readonly asOf: Milliseconds;
 };
 
-/** Takes state from wherever it comes, and knows how old it is. */
+/** Applies store state and tracks its age. */
 export class Synchronizer {
   readonly #context: GatewayContext;
-  readonly #source: SyncSource;
-  /** When the store was last asked with success; undefined before. */
+  readonly #options: SynchronizerOptions;
+  /** When the last successful call to the store began. */
   #readAt: Milliseconds | undefined;
-  #told: Told | undefined;
-  /** No configuration newer than ours was in the store then. */
+  #lastReport: ReportTime | undefined;
+  /** The local configuration was the store's newest one at this time. */
   #configAsOf: Milliseconds = -Infinity;
-  #lost = false;
+  #isStoreLost = false;
   #settledAt: Milliseconds = 0;
 
-  constructor(source: SyncSource) {
-    this.#context = source.context;
-    this.#source = source;
+  constructor(options: SynchronizerOptions) {
+    this.#context = options.context;
+    this.#options = options;
   }
 
-  /** Age of the newest answer of the store; Infinity before the first. */
+  /** Age of the newest known store state; Infinity before the first. */
   storeAgeMs(now: Milliseconds): Milliseconds {
-    const asOf = Math.max(this.#readAt ?? -1, this.#told?.asOf ?? -1);
+    const asOf = Math.max(this.#readAt ?? -1, this.#lastReport?.asOf ?? -1);
     return asOf < 0 ? Infinity : now - asOf;
   }
 
   /**
-   * Age of the newest answer that no newer configuration than ours was in the
-   * store; Infinity before the first.
+   * Time since the local configuration was last known to be the store's newest;
+   * Infinity before the first time.
    */
   configAgeMs(now: Milliseconds): Milliseconds {
     return now - this.#configAsOf;
   }
 
   /**
-   * The machine was suspended, so all words of the store are older than they
-   * seem: none of them counts as a word any more.
+   * Discards all ages after the machine was suspended: the state is older than
+   * the steady clock shows.
    */
-  forgetAges(forMs: Milliseconds): void {
+  resetAges(forMs: Milliseconds): void {
     this.#context.events.note("suspended", { for_ms: Math.round(forMs) });
     this.#readAt = undefined;
-    this.#told = undefined;
+    this.#lastReport = undefined;
     this.#configAsOf = -Infinity;
   }
 
   /**
-   * The store had no newer version than this at `asOf`, by this host's clock:
-   * a moment that surely lies before the store was read.
+   * Records that the store had no version newer than this one at `asOf`, by this
+   * host's clock; `asOf` must not be later than the read.
    */
   noteNewest(version: number, asOf: Milliseconds): void {
     if (version > this.#context.routes.version) return;
@@ -92,39 +91,45 @@
   }
 
   /**
-   * What followers may be told. After the store was away, nothing for a while: a
-   * follower whom it served all the time knows better. Nor by a host that has
-   * only seen the store as it came back from a copy. One that has known it before
-   * tells on: its followers need not list the replicas all at once.
+   * Age of the state to report to followers; Infinity: report none. A host whose
+   * store calls failed until recently reports none, since followers that the store
+   * served have better state. Nor does a host that may only have seen the store
+   * after a restore. A host that knew an earlier era goes on to report, so that
+   * its followers don't all list the replicas at once.
    */
-  tellableAgeMs(now: Milliseconds): Milliseconds {
-    const isSilent = this.#wasAway(now) ||
-      this.#context.eras.isUnproven(now);
-    return isSilent ? Infinity : this.storeAgeMs(now);
+  reportableAgeMs(now: Milliseconds): Milliseconds {
+    const isWithheld = this.#wasUnavailable(now) ||
+      this.#context.eras.isUnverified(now);
+    return isWithheld ? Infinity : this.storeAgeMs(now);
   }
 
-  /** The store was away until just now: it may lack live replicas. */
-  keepsMissing(now: Milliseconds): boolean {
-    return this.#wasAway(now) || !this.#context.eras.isSettled(now);
+  /**
+   * Whether to retain replicas that a listing lacks: the store has only just
+   * become available or been restored, and may lack live replicas.
+   */
+  retainsMissing(now: Milliseconds): boolean {
+    return this.#wasUnavailable(now) || !this.#context.eras.isSettled(now);
   }
 
-  #wasAway(now: Milliseconds): boolean {
-    return this.#lost || now < this.#settledAt;
+  #wasUnavailable(now: Milliseconds): boolean {
+    return this.#isStoreLost || now < this.#settledAt;
   }
 
-  /** The reader's report is fresh: this host need not read the store. */
+  /** Whether the reader's report is fresh, so that this host need not read the store. */
   isTold(now: Milliseconds): boolean {
     return this.freshForMs(now) > 0;
   }
 
-  /** How long the reader's report stays fresh if it says no more; at least 0. */
+  /** Time until the reader's last report expires; at least 0. */
   freshForMs(now: Milliseconds): Milliseconds {
-    if (this.#told === undefined) return 0;
-    const freshMs = this.#source.isRelay() ? RELAY_FRESH_MS : FRESH_MS;
-    return Math.max(0, this.#told.asOf + freshMs - now);
+    if (this.#lastReport === undefined) return 0;
+    const freshMs = this.#options.isRelay()
+      ? MAX_RELAY_REPORT_AGE_MS
+      : MAX_REPORT_AGE_MS;
+    return Math.max(0, this.#lastReport.asOf + freshMs - now);
   }
 
-  /** Takes a configuration from the store or a peer. */
+  /** Applies a configuration from the store or a peer; false: it is not newer. */
   takeConfig(config: RouteConfig, source: string): boolean {
     const { routes, events } = this.#context;
     const before = routes.version;
@@ -135,42 +140,42 @@
       routes: config.routes.length,
       source,
     });
-    this.#source.onConfig(config);
-    this.#source.onChange();
+    this.#options.onConfig(config);
+    this.#options.onChange();
     return true;
   }
 
   /**
-   * Somebody has heard of a version. What is news here is told on at once, also
-   * by a host that can't have the version itself.
+   * Records an announced version. Announces a new one to followers at once, also
+   * if this host can't fetch it.
    */
-  noteHeard(news: VersionNews, source: string): void {
+  noteHeard(announcement: VersionAnnouncement, source: string): void {
     const { routes, events } = this.#context;
-    const { version } = news;
+    const { version } = announcement;
     if (version <= routes.version) return;
-    const isNews = routes.noteVersion(version);
-    this.#source.onNews(news);
-    if (!isNews) return;
+    const isNew = routes.noteVersion(version);
+    this.#options.onVersionAnnounced(announcement);
+    if (!isNew) return;
     events.note("configHeard", { version, held: routes.version, source });
-    this.#source.onChange();
+    this.#options.onChange();
   }
 
-  /** Takes a listing from a peer, or from the store; false: it is older. */
+  /** Applies a listing from a peer or the store; false: it is older. */
   takeListing(listing: ReplicaListing, source: string): boolean {
     const { clock, eras, replicas } = this.#context;
     const now = clock.now();
     eras.hear(listing.revision, now);
     if (eraOf(listing.revision) < eras.era) return false;
     const change = replicas.adopt(listing, {
-      keepMissing: this.keepsMissing(now),
+      keepMissing: this.retainsMissing(now),
       leaveOutGone: !eras.isSettled(now),
     });
     if (change) this.#noteChange(change, listing.revision, source);
     return change !== undefined;
   }
 
-  /** Takes changes of the listing that the store told; false: older ones. */
-  takeChanges(changes: ListingChanges): boolean {
+  /** Applies changes of the store's listing; false: they are older. */
+  applyChanges(changes: ListingChanges): boolean {
     const { clock, eras, replicas } = this.#context;
     eras.hear(changes.revision, clock.now());
     if (eraOf(changes.revision) < eras.era) return false;
@@ -179,20 +184,20 @@
     return change !== undefined;
   }
 
-  /** Takes the report of the hall's reader; false: its listing has a gap. */
-  takeState(word: ReaderWord): boolean {
-    const { message, reader, configAsOf } = word;
+  /** Applies a report of the reader; false: its listing has a gap. */
+  applyReport(report: ReaderReport): boolean {
+    const { message, reader, configAsOf } = report;
     const { clock, replicas, eras } = this.#context;
     const now = clock.now();
     const { listing, ageMs, era } = message;
     if (message.config) this.takeConfig(message.config, reader);
     if (configAsOf !== undefined) this.noteNewest(message.version, configAsOf);
-    this.noteHeard(newsOf(word), reader);
+    this.noteHeard(announcementOf(report), reader);
     if (era !== undefined) {
       const isSettled = ageMs !== undefined && message.isSettling !== true;
       eras.hear(positionOf(era, 0), now, { isSettled });
     }
-    // A word of an earlier era is no word of the store as it is now.
+    // A report of an earlier era says nothing about the current store state.
     if ((era ?? 0) < eras.era) return true;
     const change = listing ? replicas.follow(listing) : undefined;
     if (change === "gap") return false;
@@ -201,32 +206,32 @@
     }
     if (ageMs === undefined) return true;
     const before = this.storeAgeMs(now);
-    const asOf = Math.max(this.#told?.asOf ?? -Infinity, now - ageMs);
-    this.#told = { asOf };
-    if (ageMs < before) this.#source.onChange();
+    const asOf = Math.max(this.#lastReport?.asOf ?? -Infinity, now - ageMs);
+    this.#lastReport = { asOf };
+    if (ageMs < before) this.#options.onChange();
     return true;
   }
 
   /**
-   * Whether the store answered, and a moment at which what it told was surely
-   * true.
+   * Records the outcome of a listing read, and a time at which its data was
+   * current.
    */
-  noteStore(answered: boolean, asOf: Milliseconds): void {
+  noteStoreRead(answered: boolean, asOf: Milliseconds): void {
     const { clock, events } = this.#context;
     const now = clock.now();
     const fields = { age_ms: ageField(this.storeAgeMs(now)) };
     if (!answered) {
-      if (!this.#lost) events.note("storeLost", fields);
-      this.#lost = true;
+      if (!this.#isStoreLost) events.note("storeLost", fields);
+      this.#isStoreLost = true;
       return;
     }
-    if (this.#lost) {
+    if (this.#isStoreLost) {
       events.note("storeBack", fields);
       this.#settledAt = now + SETTLE_MS;
     }
-    this.#lost = false;
+    this.#isStoreLost = false;
     this.#readAt = asOf;
-    this.#source.onChange();
+    this.#options.onChange();
   }
 
   #noteChange(
@@ -236,12 +241,12 @@
   ): void {
     const { events, pool, crashes } = this.#context;
     const revision = revisionOf(position);
-    const gone = new Map(change.removed.map((one) => [one.id, one]));
+    const removed = new Map(change.removed.map((entry) => [entry.id, entry]));
     for (const { incarnation, id, ...entry } of change.added) {
       const { service, stage, address } = entry;
       const fields = { replica: incarnation, service, stage, address };
       events.note("replicaAdded", { ...fields, revision, source });
-      const before = gone.get(id)?.incarnation;
+      const before = removed.get(id)?.incarnation;
       if (before === undefined) continue;
       events.note("replicaRestarted", { replica: incarnation, before });
     }
@@ -255,21 +260,23 @@
       crashes.gone(entry);
     }
     const leaving = [...change.leaving, ...change.added]
-      .filter((one) => one.leaving);
-    this.#source.onLeaving(leaving.map((one) => one.incarnation));
+      .filter((entry) => entry.leaving);
+    this.#options.onLeaving(leaving.map((entry) => entry.incarnation));
     const count = change.renewed.length + change.removed.length;
-    if (count > 0) this.#source.onChange();
+    if (count > 0) this.#options.onChange();
   }
 }
 
-/** The newest version that a reader knows of, and whether it holds it. */
-function newsOf({ message, address }: ReaderWord): VersionNews {
+/** The newest version that a reader knows, with its address if it has it. */
+function announcementOf(
+  { message, address }: ReaderReport,
+): VersionAnnouncement {
   const { version, newest } = message;
   if (newest !== undefined && newest > version) return { version: newest };
   return { version, holder: address };
 }
 
-/** An age for a log line; none before the first contact. */
+/** An age for a log line; undefined if infinite. */
 function ageField(age: Milliseconds): number | undefined {
   return Number.isFinite(age) ? Math.round(age) : undefined;
 }
--- a/src/gateway/state/within.ts
+++ b/src/gateway/state/within.ts
@@ -1,17 +1,17 @@
-/** A time limit for calls. */
+/** Runs calls with a timeout. */
 import type { Milliseconds } from "../../util/units.ts";
 import type { Clock } from "../clock.ts";
 
-/** A call and its limits. */
+/** A call and its timeout. */
 export type LimitedCall<Value> = {
   readonly clock: Clock;
   readonly timeoutMs: Milliseconds;
   work(signal: AbortSignal): Promise<Value>;
-  /** Told why there is no value: what the call says, or that it took long. */
+  /** Receives the reason of a failure: the call's error, or the timeout. */
   onFault(reason: string): void;
 };
 
-/** Runs a call with a time limit; undefined when it fails or takes longer. */
+/** Runs a call with a timeout; undefined if it fails or times out. */
 export async function within<Value>(
   call: LimitedCall<Value>,
 ): Promise<Value | undefined> {
--- a/test/gateway/state/config_catchup_test.ts
+++ b/test/gateway/state/config_catchup_test.ts
@@ -1,19 +1,19 @@
-/** A configuration that was heard of is fetched, from wherever it is to be had. */
+/** Tests that an announced configuration is fetched from the store or from peers. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { RouteTable } from "../../../src/gateway/routing/route_table.ts";
 import { ConfigCatchup } from "../../../src/gateway/state/config_catchup.ts";
 import { VirtualTime } from "../../fake/virtual_time.ts";
 
-type Rig = {
-  /** What the store does when it is read. */
-  readonly store: "answers" | "fails" | "says nothing";
-  /** Peers by address, and whether each has the version. */
-  readonly peers: ReadonlyMap<string, "has it" | "lacks it" | "says nothing">;
+type Scenario = {
+  /** How the store responds to a read. */
+  readonly store: "answers" | "fails" | "hangs";
+  /** How each peer responds, by address. */
+  readonly peers: ReadonlyMap<string, "has it" | "lacks it" | "hangs">;
 };
 
-/** A catch-up over a store and peers, in virtual time. */
-function start({ store, peers }: Rig) {
+/** Creates a catch-up with a simulated store and peers, in virtual time. */
+function start({ store, peers }: Scenario) {
   const time = new VirtualTime();
   const written = { version: 1 };
   const routes = new RouteTable();
@@ -36,15 +36,15 @@
     directory: { addresses: () => [...peers.keys()] },
     readStore: () => {
       log.push(`${time.now} store`);
-      if (store === "says nothing") return never;
+      if (store === "hangs") return never;
       return later(4, () => {
         if (store === "answers") adopt();
         return store === "answers";
       });
     },
-    askPeer: (address) => {
+    requestFromPeer: (address) => {
       log.push(`${time.now} ${address}`);
-      if (peers.get(address) === "says nothing") return never;
+      if (peers.get(address) === "hangs") return never;
       return later(3, () => {
         if (peers.get(address) === "has it") adopt();
       });
@@ -54,7 +54,7 @@
   return { catchup, written, adopted, log, runTo };
 }
 
-test("of newer configurations in quick succession some are skipped, the newest never", async () => {
+test("versions announced in quick succession may be skipped, except for the newest", async () => {
   const { catchup, written, adopted, runTo } = start({
     store: "answers",
     peers: new Map(),
@@ -62,58 +62,58 @@
   for (let at = 0; at <= 800; at += 100) {
     await runTo(at);
     written.version += 1;
-    catchup.heard({ version: written.version });
+    catchup.noteVersion({ version: written.version });
   }
   await runTo(1200);
-  assert.deepEqual(adopted.map((one) => one.version), [2, 5, 8, 10]);
+  assert.deepEqual(adopted.map((entry) => entry.version), [2, 5, 8, 10]);
   assert.ok((adopted.at(-1)?.at ?? Infinity) <= 910);
 });
 
-test("while the store answers, no peer is asked", async () => {
+test("no request goes to peers while the store responds", async () => {
   const { catchup, written, adopted, log, runTo } = start({
     store: "answers",
     peers: new Map([["a", "has it"], ["b", "has it"]]),
   });
   written.version = 2;
-  catchup.heard({ version: 2, holder: "a" });
+  catchup.noteVersion({ version: 2, holder: "a" });
   await runTo(5000);
   assert.equal(adopted.length, 1);
   assert.deepEqual(log, ["0 store"]);
 });
 
-test("peers are asked at once when the store turns this host away", async () => {
+test("requests go to peers at once when the store rejects this host", async () => {
   const { catchup, written, adopted, runTo } = start({
     store: "fails",
     peers: new Map([["a", "lacks it"], ["b", "lacks it"], ["c", "has it"]]),
   });
   written.version = 2;
-  catchup.heard({ version: 2, holder: "c" });
+  catchup.noteVersion({ version: 2, holder: "c" });
   await runTo(5000);
   assert.deepEqual(adopted, [{ at: 13, version: 2 }]);
 });
 
-test("peers and a store that say nothing hold nobody up for long", async () => {
+test("an unresponsive store and unresponsive peers delay the fetch only briefly", async () => {
   const { catchup, written, adopted, runTo } = start({
-    store: "says nothing",
-    peers: new Map([["a", "says nothing"], ["b", "says nothing"], [
+    store: "hangs",
+    peers: new Map([["a", "hangs"], ["b", "hangs"], [
       "c",
       "has it",
     ]]),
   });
   written.version = 2;
-  catchup.heard({ version: 2 });
+  catchup.noteVersion({ version: 2 });
   await runTo(5000);
   assert.deepEqual(adopted, [{ at: 753, version: 2 }]);
 });
 
-test("a version that nobody has is asked for ever less often, until it is stopped", async () => {
+test("fetches of an unavailable version back off until stopped", async () => {
   const { catchup, log, runTo } = start({
     store: "fails",
     peers: new Map([["a", "lacks it"]]),
   });
-  catchup.heard({ version: 2 });
+  catchup.noteVersion({ version: 2 });
   await runTo(10_000);
-  const reads = log.filter((one) => one.endsWith("store"));
+  const reads = log.filter((line) => line.endsWith("store"));
   assert.ok(reads.length >= 10 && reads.length <= 15, String(reads));
   catchup.stop();
   const before = log.length;
--- a/test/gateway/state/fleet_store.ts
+++ b/test/gateway/state/fleet_store.ts
@@ -1,4 +1,4 @@
-/** A store that answers some hosts and turns others away, in virtual time. */
+/** A simulated store that serves some hosts and rejects others, in virtual time. */
 import type { Clock } from "../../../src/gateway/clock.ts";
 import type {
   ConfigReading,
@@ -11,22 +11,22 @@
 
 import { untilAborted } from "./until_aborted.ts";
 
-const STORE_WAY_MS = 2;
+const STORE_LATENCY_MS = 2;
 
-/** How the store treats a host: it answers, resets its calls, or says nothing. */
+/** How the store treats a host: serves it, resets its calls, or doesn't respond. */
 export type Treatment = "served" | "reset" | "silent";
 
-/** A call that waits for a change, or for its time to be over. */
+/** A call that waits for a change or its timeout. */
 type Watch = { wake(): void; fail(): void; readonly host: string };
 
-/** A replica's row, or that it is gone, and when that was written. */
+/** A replica's row, without an entry if deleted, and the revision of the write. */
 type ReplicaRow = {
   readonly entry?: ReplicaEntry;
   readonly revision: number;
 };
 
-/** All that the store keeps; its revision rises with each write. */
-export type StoreCopy = {
+/** The store's contents; the revision rises with each write. */
+export type StoreBackup = {
   readonly revision: number;
   readonly config: RouteConfig | undefined;
   readonly configRevision: number;
@@ -36,10 +36,10 @@
 
 /** A configuration, rows of hosts, and a listing of replicas. */
 export class FleetStore {
-  /** Calls by kind. */
+  /** Number of calls by kind. */
   readonly calls = new Map<string, number>();
   readonly #clock: Clock;
-  /** The hosts' own. */
+  /** The hosts' clocks. */
   readonly #clocks = new Map<string, Clock>();
   readonly #treatments = new Map<string, Treatment>();
   readonly #watches = new Set<Watch>();
@@ -49,20 +49,20 @@
   #configRevision = 1;
   #revision = 1;
   #era = 1;
-  /** The store names its era in each answer. */
-  readonly #tellsEra: boolean;
+  /** Whether each response names the era. */
+  readonly #reportsEra: boolean;
 
-  constructor(clock: Clock, tellsEra = true) {
+  constructor(clock: Clock, reportsEra = true) {
     this.#clock = clock;
-    this.#tellsEra = tellsEra;
+    this.#reportsEra = reportsEra;
   }
 
-  get #place(): StorePlace {
+  get #position(): StorePlace {
     const revision = this.#revision;
-    return this.#tellsEra ? { revision, era: this.#era } : { revision };
+    return this.#reportsEra ? { revision, era: this.#era } : { revision };
   }
 
-  /** In force from now on. */
+  /** Writes a configuration. */
   publish(config: RouteConfig): void {
     this.#revision += 1;
     this.#config = config;
@@ -70,27 +70,27 @@
     this.#wake();
   }
 
-  /** A replica writes its row. */
+  /** Writes the row of a replica. */
   list(entry: ReplicaEntry): void {
     this.#revision += 1;
     this.#replicas.set(entry.id, { entry, revision: this.#revision });
     this.#wake();
   }
 
-  /** A replica's row goes. */
+  /** Deletes the row of a replica. */
   unlist(id: string): void {
     this.#revision += 1;
     this.#replicas.set(id, { revision: this.#revision });
     this.#wake();
   }
 
-  /** Some write that concerns none of the rows here: the counter rises. */
-  pass(writes: number): void {
+  /** Raises the revision, as by writes to unrelated rows. */
+  advanceRevision(writes: number): void {
     this.#revision += writes;
   }
 
-  /** What the store keeps now. */
-  copy(): StoreCopy {
+  /** Returns a backup of the current contents. */
+  backUp(): StoreBackup {
     return {
       revision: this.#revision,
       config: this.#config,
@@ -100,21 +100,21 @@
     };
   }
 
-  /** The store comes back from an older copy: what came since is gone. */
-  restore(copy: StoreCopy): void {
+  /** Restores a backup and begins a new era. */
+  restore(backup: StoreBackup): void {
     this.#era += 1;
-    this.#revision = copy.revision;
-    this.#config = copy.config;
-    this.#configRevision = copy.configRevision;
-    this.#replicas = new Map(copy.replicas);
-    this.#rows = new Map(copy.rows);
+    this.#revision = backup.revision;
+    this.#config = backup.config;
+    this.#configRevision = backup.configRevision;
+    this.#replicas = new Map(backup.replicas);
+    this.#rows = new Map(backup.rows);
   }
 
   #wake(): void {
     for (const watch of [...this.#watches]) watch.wake();
   }
 
-  /** How a host is treated from now on; held calls fail where it is reset. */
+  /** Sets how a host is treated; "reset" fails its open calls. */
   treat(host: string, treatment: Treatment): void {
     this.#treatments.set(host, treatment);
     if (treatment !== "reset") return;
@@ -123,15 +123,15 @@
     }
   }
 
-  /** The store as a host calls it, whose clock says when it can hear. */
+  /** The store as a host sees it; responses arrive by the host's clock. */
   of(host: string, clock: Clock = this.#clock): Store {
     this.#clocks.set(host, clock);
-    const answer = <Value>(
+    const respond = <Value>(
       kind: string,
       signal: AbortSignal,
       value: () => Value,
-    ) => untilAborted(signal, this.#answer(host, kind, value));
-    const held = <Value>(
+    ) => untilAborted(signal, this.#respond(host, kind, value));
+    const longPoll = <Value>(
       kind: string,
       signal: AbortSignal,
       call: {
@@ -139,39 +139,41 @@
         readonly isDue: () => boolean;
         readonly value: () => Value;
       },
-    ) => untilAborted(signal, this.#hold(host, kind, call));
-    const timed = () => ({ nowMs: this.#clock.now(), ...this.#place });
+    ) => untilAborted(signal, this.#longPoll(host, kind, call));
+    const timed = () => ({ nowMs: this.#clock.now(), ...this.#position });
     return {
       readReplicas: (signal) =>
-        answer("replicas", signal, () => ({
+        respond("replicas", signal, () => ({
           entries: this.#entriesSince(0),
           ...timed(),
         })),
       watchReplicas: (from, waitMs, signal) =>
-        held("replicas", signal, {
+        longPoll("replicas", signal, {
           waitMs,
-          isDue: () => this.#lacks(from) || this.#hasListedSince(from.revision),
+          isDue: () =>
+            this.#lacksPosition(from) || this.#hasListedSince(from.revision),
           value: () =>
-            this.#lacks(from)
+            this.#lacksPosition(from)
               ? undefined
               : { ...this.#changesSince(from.revision), ...timed() },
         }),
-      readConfig: (signal) => answer("config", signal, () => this.#reading(0)),
+      readConfig: (signal) => respond("config", signal, () => this.#reading(0)),
       watchConfig: (from, waitMs, signal) =>
-        held("config watch", signal, {
+        longPoll("config watch", signal, {
           waitMs,
           isDue: () =>
-            this.#lacks(from) || this.#configRevision > from.revision,
-          value: () => this.#lacks(from) ? {} : this.#reading(from.revision),
+            this.#lacksPosition(from) || this.#configRevision > from.revision,
+          value: () =>
+            this.#lacksPosition(from) ? {} : this.#reading(from.revision),
         }),
       readRows: (_table, signal) =>
-        answer(
+        respond(
           "rows",
           signal,
           () => ({ rows: [...this.#rows.values()], ...timed() }),
         ),
       writeRow: ({ key, value }, signal) =>
-        answer("row", signal, () => {
+        respond("row", signal, () => {
           this.#revision += 1;
           this.#rows.set(key, { key, value, revision: this.#revision });
           return { type: "written", ...timed() };
@@ -179,9 +181,9 @@
     };
   }
 
-  /** The store doesn't have such a place. */
-  #lacks({ revision, era }: StorePlace): boolean {
-    const isOfEra = !this.#tellsEra || era === this.#era;
+  /** Whether the position is not in the store's history. */
+  #lacksPosition({ revision, era }: StorePlace): boolean {
+    const isOfEra = !this.#reportsEra || era === this.#era;
     return !isOfEra || revision > this.#revision;
   }
 
@@ -205,35 +207,35 @@
     return { changed: this.#entriesSince(since), gone };
   }
 
-  #reach(host: string, end: () => void): void {
+  #deliver(host: string, end: () => void): void {
     const clock = this.#clocks.get(host) ?? this.#clock;
-    clock.after(STORE_WAY_MS, end);
+    clock.after(STORE_LATENCY_MS, end);
   }
 
   #reading(since: number): ConfigReading {
     const config = this.#configRevision > since ? this.#config : undefined;
-    return { place: this.#place, ...(config ? { config } : {}) };
+    return { place: this.#position, ...(config ? { config } : {}) };
   }
 
-  #answer<Value>(
+  #respond<Value>(
     host: string,
     kind: string,
     value: () => Value,
   ): Promise<Value> {
     this.calls.set(kind, (this.calls.get(kind) ?? 0) + 1);
     return new Promise((resolve, reject) => {
-      this.#clock.after(STORE_WAY_MS, () => {
+      this.#clock.after(STORE_LATENCY_MS, () => {
         const treatment = this.#treatments.get(host) ?? "served";
         if (treatment === "silent") return;
         if (treatment === "reset") return reject(new Error("Reset"));
         const read = value();
-        this.#reach(host, () => resolve(read));
+        this.#deliver(host, () => resolve(read));
       });
     });
   }
 
-  /** Answers when there is something to tell, or after a time. */
-  #hold<Value>(
+  /** Responds when there is a change, or after a timeout. */
+  #longPoll<Value>(
     host: string,
     kind: string,
     { waitMs, isDue, value }: {
@@ -248,7 +250,7 @@
       const settle = (end: () => void) => {
         this.#watches.delete(watch);
         cancel();
-        this.#reach(host, end);
+        this.#deliver(host, end);
       };
       const watch: Watch = {
         host,
@@ -258,7 +260,7 @@
         },
         fail: () => settle(() => reject(new Error("Reset"))),
       };
-      this.#clock.after(STORE_WAY_MS, () => {
+      this.#clock.after(STORE_LATENCY_MS, () => {
         const treatment = this.#treatments.get(host) ?? "served";
         if (treatment === "reset") return watch.fail();
         this.#watches.add(watch);
--- a/test/gateway/state/hall_link_test.ts
+++ b/test/gateway/state/hall_link_test.ts
@@ -1,4 +1,4 @@
-/** A follower hears its reader over a real link, and leaves a dead one. */
+/** Tests that a follower receives state over a real link, and leaves a dead reader. */
 import assert from "node:assert/strict";
 import { createServer } from "node:http";
 import { test } from "node:test";
@@ -19,7 +19,7 @@
 import { neverSuspended } from "../never_suspended.ts";
 import { quietEras } from "../quiet_eras.ts";
 
-/** Timers that go on for the life of a process do not keep this one. */
+/** A clock whose timers do not keep the process alive. */
 const clock: Clock = {
   now: systemClock.now,
   after: (delayMs, work) => {
@@ -28,7 +28,7 @@
   },
 };
 
-/** A context and the names of the events noted in it. */
+/** Creates a context, and a list of the names of its logged events. */
 function makeContext() {
   const events: string[] = [];
   const context = {
@@ -42,8 +42,8 @@
   return { context, events };
 }
 
-/** Names by which `reader` is chosen by `follower`. */
-function names(): { reader: string; follower: string } {
+/** Chooses host ids such that `follower` follows `reader`. */
+function chooseHostIds(): { reader: string; follower: string } {
   const hosts = ["a", "b"].map((id) => ({ id, address: "", hall: "h" }));
   const [first, second] = hosts;
   assert.ok(first && second);
@@ -56,17 +56,20 @@
   return { reader, follower: reader === "a" ? "b" : "a" };
 }
 
-async function until(isSo: () => boolean): Promise<void> {
-  while (!isSo()) await new Promise((resolve) => setTimeout(resolve, 5));
+async function waitUntil(condition: () => boolean): Promise<void> {
+  while (!condition()) await new Promise((resolve) => setTimeout(resolve, 5));
 }
 
-test("a follower takes what its reader tells, and leaves it when it is gone", async (t) => {
-  const { reader, follower } = names();
+test("a follower applies its reader's state, and leaves the reader when its link ends", async (t) => {
+  const { reader, follower } = chooseHostIds();
   const ages = { now: Infinity };
-  const there = makeContext();
-  there.context.replicas.adopt({ revision: 1, entries: [replicaEntry("x")] });
+  const readerSide = makeContext();
+  readerSide.context.replicas.adopt({
+    revision: 1,
+    entries: [replicaEntry("x")],
+  });
   const server = createServer((request, response) =>
-    states.accept(request, response)
+    stateServer.accept(request, response)
   );
   await new Promise<void>((resolve) =>
     server.listen(0, "127.0.0.1", () => resolve())
@@ -77,55 +80,58 @@
   });
   const bound = server.address();
   const port = typeof bound === "object" && bound ? bound.port : 0;
-  const place: HostEntry = {
+  const readerEntry: HostEntry = {
     id: reader,
     address: `127.0.0.1:${port}`,
     hall: "h",
   };
-  const states = new StateServer({
-    context: there.context,
-    self: place,
-    directory: new HostDirectory(place, []),
-    news: quietNews(),
+  const stateServer = new StateServer({
+    context: readerSide.context,
+    self: readerEntry,
+    directory: new HostDirectory(readerEntry, []),
+    updates: quietNews(),
     storeAgeMs: () => ages.now,
     configAgeMs: () => Infinity,
   });
-  const here = makeContext();
+  const followerSide = makeContext();
   const self = { id: follower, address: "127.0.0.1:1", hall: "h" };
   const directory = new HostDirectory(self, []);
-  directory.learn([place], systemClock.now());
-  const told: StateMessage[] = [];
-  const link = new HallFollower({
-    context: here.context,
+  directory.learn([readerEntry], systemClock.now());
+  const received: StateMessage[] = [];
+  const hallFollower = new HallFollower({
+    context: followerSide.context,
     self,
     directory,
-    news: quietNews(),
+    updates: quietNews(),
     openLink,
-    onState: ({ message }) => {
-      told.push(message);
+    onReport: ({ message }) => {
+      received.push(message);
       const { listing } = message;
-      return !listing || here.context.replicas.follow(listing) !== "gap";
+      return !listing ||
+        followerSide.context.replicas.follow(listing) !== "gap";
     },
   });
-  link.start();
-  // A reader with no word of its own to tell does not tell its listing, and is
-  // not followed.
-  await until(() => told.length > 0);
-  assert.equal(link.reader, follower);
-  assert.equal(told[0]?.ageMs, undefined);
-  assert.equal(told[0]?.listing, undefined);
+  hallFollower.start();
+  // A reader that reports no age sends no listing and is not followed.
+  await waitUntil(() => received.length > 0);
+  assert.equal(hallFollower.reader, follower);
+  assert.equal(received[0]?.ageMs, undefined);
+  assert.equal(received[0]?.listing, undefined);
   ages.now = 7;
-  states.tell();
-  await until(() => here.context.replicas.get("x") !== undefined);
-  assert.equal(link.reader, reader);
-  assert.equal(told.at(-1)?.ageMs, 7);
-  assert.deepEqual(told[0]?.hosts?.map((one) => one.id), [reader]);
-  there.context.replicas.adopt({ revision: 2, entries: [replicaEntry("y")] });
-  states.tell();
-  await until(() => here.context.replicas.get("y") !== undefined);
-  assert.equal(here.context.replicas.get("x"), undefined);
+  stateServer.broadcast();
+  await waitUntil(() => followerSide.context.replicas.get("x") !== undefined);
+  assert.equal(hallFollower.reader, reader);
+  assert.equal(received.at(-1)?.ageMs, 7);
+  assert.deepEqual(received[0]?.hosts?.map((host) => host.id), [reader]);
+  readerSide.context.replicas.adopt({
+    revision: 2,
+    entries: [replicaEntry("y")],
+  });
+  stateServer.broadcast();
+  await waitUntil(() => followerSide.context.replicas.get("y") !== undefined);
+  assert.equal(followerSide.context.replicas.get("x"), undefined);
   server.closeAllConnections();
   server.close();
-  await until(() => here.events.includes("readerLeft"));
-  assert.equal(link.reader, follower);
+  await waitUntil(() => followerSide.events.includes("readerLeft"));
+  assert.equal(hallFollower.reader, follower);
 });
--- a/test/gateway/state/reader_choice_test.ts
+++ b/test/gateway/state/reader_choice_test.ts
@@ -1,4 +1,4 @@
-/** The hosts of a hall agree on who reads the store for them. */
+/** Tests that all hosts agree on who reads the store and who relays. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { HostEntry } from "../../../src/gateway/mod.ts";
@@ -12,7 +12,7 @@
 }));
 
 function readerOf(self: HostEntry, suspects: readonly string[] = []): string {
-  const others = HOSTS.filter((one) => one !== self);
+  const others = HOSTS.filter((host) => host !== self);
   return chooseReader({
     self,
     hosts: others,
@@ -21,39 +21,39 @@
   });
 }
 
-test("one host of the fleet reads, one of each other hall relays", () => {
-  const readers = new Map(HOSTS.map((one) => [one.id, readerOf(one)]));
-  const reading = HOSTS.filter((one) => readers.get(one.id) === one.id);
+test("one host of the fleet reads the store, and one host of each other hall relays", () => {
+  const readers = new Map(HOSTS.map((host) => [host.id, readerOf(host)]));
+  const reading = HOSTS.filter((host) => readers.get(host.id) === host.id);
   assert.equal(reading.length, 1);
   for (const hall of ["north", "south"]) {
-    const own = HOSTS.filter((one) => one.hall === hall);
-    const ids = new Set(own.map((one) => one.id));
-    const outside = own.filter((one) =>
-      readers.get(one.id) === one.id || !ids.has(readers.get(one.id) ?? "")
+    const members = HOSTS.filter((host) => host.hall === hall);
+    const ids = new Set(members.map((host) => host.id));
+    const relays = members.filter((host) =>
+      readers.get(host.id) === host.id || !ids.has(readers.get(host.id) ?? "")
     );
-    assert.equal(outside.length, 1);
-    const followed = own.filter((one) => !outside.includes(one))
-      .map((one) => readers.get(one.id));
-    assert.deepEqual(new Set(followed), new Set([outside[0]?.id]));
+    assert.equal(relays.length, 1);
+    const followed = members.filter((host) => !relays.includes(host))
+      .map((host) => readers.get(host.id));
+    assert.deepEqual(new Set(followed), new Set([relays[0]?.id]));
   }
 });
 
-test("a suspect is not followed, and the last one reads for itself", () => {
+test("a suspect is not followed, and a host whose peers are all suspects reads the store itself", () => {
   const [self] = HOSTS;
   assert.ok(self);
   const first = readerOf(self);
   assert.notEqual(readerOf(self, [first]), first === self.id ? "" : first);
-  const others = HOSTS.map((one) => one.id).filter((id) => id !== self.id);
+  const others = HOSTS.map((host) => host.id).filter((id) => id !== self.id);
   assert.equal(readerOf(self, others), self.id);
 });
 
-test("a relay looks past the halls whose hosts it can't reach", () => {
-  const self = HOSTS.find((one) => {
-    const reader = HOSTS.find(({ id }) => id === readerOf(one));
-    return reader !== undefined && reader.hall !== one.hall;
+test("a relay does not follow hosts of a hall with an unreachable host", () => {
+  const self = HOSTS.find((host) => {
+    const reader = HOSTS.find(({ id }) => id === readerOf(host));
+    return reader !== undefined && reader.hall !== host.hall;
   });
   assert.ok(self);
   const reader = readerOf(self);
-  // The only other hall has a suspect: its other hosts are not tried.
+  // The only other hall has a suspect, so that none of its hosts is chosen.
   assert.equal(readerOf(self, [reader]), self.id);
 });
--- a/test/gateway/state/routes_of.ts
+++ b/test/gateway/state/routes_of.ts
@@ -1,7 +1,7 @@
-/** Routes for tests of how configurations spread. */
+/** Routes for tests of how configurations propagate. */
 import { type Route, RouteKind } from "../../../src/gateway/mod.ts";
 
-/** So many routes of one service. */
+/** Creates `count` routes to one service. */
 export function routesOf(count: number): Route[] {
   return Array.from({ length: count }, (_, at) => ({
     name: `route-${at}`,
--- a/test/gateway/state/state_fleet.ts
+++ b/test/gateway/state/state_fleet.ts
@@ -1,6 +1,6 @@
 /**
- * Hosts that spread the state of a store among themselves, in virtual time:
- * all of their own code runs, over a store and links that a test controls.
+ * Simulates a fleet of hosts in virtual time. The hosts run the real state code
+ * over a simulated store and simulated links.
  */
 import type { GatewayContext } from "../../../src/gateway/context.ts";
 import type { HostEntry } from "../../../src/gateway/mod.ts";
@@ -28,10 +28,10 @@
 import { untilAborted } from "./until_aborted.ts";
 import { quietEras } from "../quiet_eras.ts";
 
-const WAY_MS = 1.5;
+const LINK_LATENCY_MS = 1.5;
 const TIMES = { listMs: 700, timeoutMs: 700, watchMs: 1200 };
-/** A host that is cut off notices that its links are dead after this time. */
-const SILENT_MS = 1000;
+/** Time until the links between partitioned hosts close. */
+const LINK_TIMEOUT_MS = 1000;
 const HALLS = 3;
 const CRASH_RULE = { most: 3, lifeMs: 60_000 };
 
@@ -42,13 +42,13 @@
   readonly directory: HostDirectory;
   readonly context: GatewayContext;
   readonly state: FleetState;
-  /** When each version came into force. */
+  /** When each configuration version came into force. */
   readonly adoptedAt: Map<number, number>;
-  readonly sleep: Sleep;
+  readonly suspension: Suspension;
 };
 
-/** When a host is suspended, and for how long it was in all. */
-type Sleep = { until: number; total: number };
+/** When a host's suspension ends, and the total time that it was suspended. */
+type Suspension = { until: number; totalMs: number };
 
 type OpenLink = {
   readonly from: string;
@@ -56,8 +56,8 @@
   close(): void;
 };
 
-/** A small generator, so that a seed names the whole run. */
-function randomOf(seed: number): () => number {
+/** A seeded random number generator, which makes runs reproducible. */
+function createRandom(seed: number): () => number {
   let state = seed >>> 0;
   return () => {
     state = (Math.imul(state, 1664525) + 1013904223) >>> 0;
@@ -65,24 +65,24 @@
   };
 }
 
-/** Hosts in three halls, all of whom know each other. */
+/** Hosts in three halls, all of which know each other. */
 export class StateFleet {
   readonly hosts: FleetHost[];
   readonly store: FleetStore;
-  /** What a probe of any replica shows. */
+  /** Result of probing any replica. */
   probe: () => Promise<ProbeResult> = () => Promise.resolve("refused");
   #isCut: (from: FleetHost, to: FleetHost) => boolean = () => false;
-  readonly #open = new Set<OpenLink>();
+  readonly #openLinks = new Set<OpenLink>();
   readonly #time = new VirtualTime();
   readonly #random: () => number;
 
   constructor(
     size: number,
     seed: number,
-    { tellsEra = true }: { readonly tellsEra?: boolean } = {},
+    { reportsEra = true }: { readonly reportsEra?: boolean } = {},
   ) {
-    this.#random = randomOf(seed);
-    this.store = new FleetStore(this.#time.clock, tellsEra);
+    this.#random = createRandom(seed);
+    this.store = new FleetStore(this.#time.clock, reportsEra);
     const entries = Array.from({ length: size }, (_, at) => ({
       id: `h${at}`,
       address: `h${at}`,
@@ -98,58 +98,58 @@
     return this.#time.now;
   }
 
-  /** Hosts by their part: the reader of all, relays of halls, and others. */
+  /** The role of a host: reader of the fleet, relay of a hall, or follower. */
   roleOf({ entry }: FleetHost): "reader" | "relay" | "follower" {
-    const entries = this.hosts.map((one) => one.entry);
+    const entries = this.hosts.map((host) => host.entry);
     const reader = chooseReader({
       self: entry,
-      hosts: entries.filter((one) => one.id !== entry.id),
+      hosts: entries.filter((other) => other.id !== entry.id),
       orders: new HostOrders(entry.id),
       isSuspect: () => false,
     });
     if (reader === entry.id) return "reader";
-    const hall = entries.find((one) => one.id === reader)?.hall;
+    const hall = entries.find((other) => other.id === reader)?.hall;
     return hall === entry.hall ? "follower" : "relay";
   }
 
-  /** A host that knows all others starts now. */
+  /** Starts another host, which knows all others. */
   add(): FleetHost {
     const { entry } = this.hosts[this.hosts.length - 1] as FleetHost;
     const id = `${entry.id}-next`;
     const added = { ...entry, id, address: id };
-    const host = this.#makeHost(added, this.hosts.map((one) => one.entry));
+    const host = this.#makeHost(added, this.hosts.map((host) => host.entry));
     this.hosts.push(host);
     host.state.start();
     return host;
   }
 
-  /** Nothing goes between hosts that are cut from each other, from now on. */
+  /** From now on, drops everything between hosts for which `isCut` returns true. */
   cut(isCut: (from: FleetHost, to: FleetHost) => boolean): void {
     this.#isCut = isCut;
-    for (const link of [...this.#open]) {
+    for (const link of [...this.#openLinks]) {
       if (!this.#isCutBetween(link.from, link.to)) continue;
-      this.#time.clock.after(SILENT_MS, () => link.close());
+      this.#time.clock.after(LINK_TIMEOUT_MS, () => link.close());
     }
   }
 
   /**
-   * A host's machine is suspended: it does nothing, its steady clock stands
-   * still, and what comes for it meanwhile is there when it wakes.
+   * Suspends a host's machine: its steady clock and timers stop, and messages to it
+   * are delivered when it resumes.
    */
-  suspend({ sleep }: FleetHost, forMs: number): void {
-    sleep.until = this.now + forMs;
-    sleep.total += forMs;
+  suspend({ suspension }: FleetHost, forMs: number): void {
+    suspension.until = this.now + forMs;
+    suspension.totalMs += forMs;
   }
 
-  /** The clock of a host: its timers fire when it is awake. */
-  #clockOf(sleep: Sleep): Clock {
+  /** The clock of a host; its timers don't fire while the host is suspended. */
+  #clockOf(suspension: Suspension): Clock {
     const { clock } = this.#time;
     return {
-      now: () => clock.now() - sleep.total,
+      now: () => clock.now() - suspension.totalMs,
       after: (delayMs, work) => {
         let cancel = () => {};
         const fire = () => {
-          const leftMs = sleep.until - clock.now();
+          const leftMs = suspension.until - clock.now();
           if (leftMs > 0) cancel = clock.after(leftMs, fire);
           else work();
         };
@@ -163,19 +163,19 @@
     return this.#isCut(this.#hostOf(from), this.#hostOf(to));
   }
 
-  /** Does something at a time. */
+  /** Schedules `run` at a time. */
   at(time: number, run: () => void): void {
     this.#time.at(time, run);
   }
 
-  /** Goes on to a time. */
+  /** Advances the virtual time. */
   runTo(time: number): Promise<void> {
     return this.#time.runTo(time);
   }
 
   #makeHost(entry: HostEntry, entries: readonly HostEntry[]): FleetHost {
-    const sleep = { until: 0, total: 0 };
-    const clock = this.#clockOf(sleep);
+    const suspension = { until: 0, totalMs: 0 };
+    const clock = this.#clockOf(suspension);
     const suspensions = new SuspensionWatch({
       steadyNow: clock.now,
       dayNow: () => this.#time.now,
@@ -189,7 +189,7 @@
     directory.learn(entries, 0);
     const openLink = (target: LinkTarget, linkEvents: LinkEvents) =>
       this.#openLink(entry.id, target, linkEvents);
-    const known = createReplicaState({
+    const replicaState = createReplicaState({
       self,
       clock,
       random: this.#random,
@@ -203,7 +203,7 @@
       events,
       metrics,
       rule: CRASH_RULE,
-      isLeaving: (entry) => known.replicas.isLeaving(entry),
+      isLeaving: (entry) => replicaState.replicas.isLeaving(entry),
       probe: () => this.probe(),
     });
     const context = {
@@ -216,7 +216,7 @@
       metrics,
       events,
       crashes,
-      ...known,
+      ...replicaState,
       pool: { forget: () => undefined },
     } as unknown as GatewayContext;
     const state = new FleetState({
@@ -229,11 +229,19 @@
       createClient: (address) => this.#clientOf(entry.id, address),
       onConfig: ({ version }) => adoptedAt.set(version, this.#time.now),
     });
-    return { entry, routes, directory, context, state, adoptedAt, sleep };
+    return {
+      entry,
+      routes,
+      directory,
+      context,
+      state,
+      adoptedAt,
+      suspension,
+    };
   }
 
   #hostOf(id: string): FleetHost {
-    const host = this.hosts.find((one) => one.entry.id === id);
+    const host = this.hosts.find((host) => host.entry.id === id);
     if (!host) throw new Error(`No host "${id}"`);
     return host;
   }
@@ -250,26 +258,26 @@
     const close = () => {
       if (!isOpen) return;
       isOpen = false;
-      this.#open.delete(link);
+      this.#openLinks.delete(link);
       this.#time.clock.after(0, () => fromEvents.closed());
-      this.#time.clock.after(WAY_MS, () => toEvents?.closed());
+      this.#time.clock.after(LINK_LATENCY_MS, () => toEvents?.closed());
     };
     const lineTo =
       (host: FleetHost, events: () => LinkEvents | undefined) =>
       (message: object) => {
         const text = JSON.stringify(message);
-        // By the receiver's clock: a line waits for it to wake.
-        this.#clockOf(host.sleep).after(WAY_MS, () => {
+        // By the receiver's clock: a line to a suspended host is delayed.
+        this.#clockOf(host.suspension).after(LINK_LATENCY_MS, () => {
           if (isOpen && !isCut()) events()?.line(text);
         });
       };
     const link = { from, to: address, close };
-    this.#open.add(link);
+    this.#openLinks.add(link);
     if (isCut()) {
-      this.#time.clock.after(SILENT_MS, close);
+      this.#time.clock.after(LINK_TIMEOUT_MS, close);
       return { send: () => undefined, close };
     }
-    this.#time.clock.after(WAY_MS, () => {
+    this.#time.clock.after(LINK_LATENCY_MS, () => {
       const open = (events: LinkEvents) => {
         toEvents = events;
         return { send: lineTo(this.#hostOf(from), () => fromEvents), close };
@@ -277,7 +285,10 @@
       if (path === LinkPath.limit) to.context.limits.owner.join(from, open);
       else to.state.server.join(open);
     });
-    this.#time.clock.after(2 * WAY_MS, () => isOpen && fromEvents.ready?.());
+    this.#time.clock.after(
+      2 * LINK_LATENCY_MS,
+      () => isOpen && fromEvents.ready?.(),
+    );
     return { send: lineTo(to, () => toEvents), close };
   }
 
@@ -289,21 +300,16 @@
           signal,
           new Promise((resolve) => {
             if (this.#isCutBetween(from, address)) return;
-            this.#time.clock.after(WAY_MS, () => {
+            this.#time.clock.after(LINK_LATENCY_MS, () => {
               const { entry, context, directory, state } = this.#hostOf(
                 address,
               );
               const configAgeMs = (now: number) => state.configAgeMs(now);
               const self = entry;
-              const source = {
-                context,
-                self,
-                directory,
-                configAgeMs,
-              };
-              const body = JSON.stringify(answerTo(source, path));
+              const options = { context, self, directory, configAgeMs };
+              const body = JSON.stringify(answerTo(options, path));
               this.#time.clock.after(
-                WAY_MS,
+                LINK_LATENCY_MS,
                 () => resolve({ status: 200, body }),
               );
             });
--- a/test/gateway/state/state_server_test.ts
+++ b/test/gateway/state/state_server_test.ts
@@ -1,4 +1,4 @@
-/** What a reader tells its followers of the configuration. */
+/** Tests what a reader sends to its followers about the configuration. */
 import assert from "node:assert/strict";
 import { createServer } from "node:http";
 import { test } from "node:test";
@@ -15,7 +15,7 @@
 import { routesOf } from "./routes_of.ts";
 import { quietEras } from "../quiet_eras.ts";
 
-/** Timers that go on for the life of a process do not keep this one. */
+/** A clock whose timers do not keep the process alive. */
 const clock: Clock = {
   now: systemClock.now,
   after: (delayMs, work) => {
@@ -25,7 +25,7 @@
 };
 const LIMITS = { bodyBytes: 1, headerMs: 1, idleMs: 1 };
 
-test("a small configuration is told, of a large one only its version", async (t) => {
+test("a small configuration is sent, of a large one only its version", async (t) => {
   const routes = new RouteTable();
   const replicas = new ReplicaTable();
   const self = { id: "reader", address: "127.0.0.1:1", hall: "h" };
@@ -36,23 +36,23 @@
     replicas,
     eras,
   } as unknown as GatewayContext;
-  const states = new StateServer({
+  const stateServer = new StateServer({
     context,
     self,
     directory: new HostDirectory(self, []),
-    news: quietNews(),
+    updates: quietNews(),
     storeAgeMs: () => 0,
     configAgeMs: () => 0,
   });
   const server = createServer((request, response) =>
-    states.accept(request, response)
+    stateServer.accept(request, response)
   );
   const address = await listen(server);
   t.after(() => {
     server.closeAllConnections();
     server.close();
   });
-  const told: StateMessage[] = [];
+  const received: StateMessage[] = [];
   const path = LinkPath.state;
   const link = openLink({ address, path, self: "follower", clock }, {
     ready: () =>
@@ -63,23 +63,23 @@
         sentAt: 0,
         host: { ...self, id: "follower" },
       }),
-    line: (text) => told.push(JSON.parse(text) as StateMessage),
+    line: (text) => received.push(JSON.parse(text) as StateMessage),
     closed: () => undefined,
   });
-  const toldOf = async (version: number): Promise<StateMessage> => {
+  const messageWith = async (version: number): Promise<StateMessage> => {
     for (;;) {
-      const found = told.find((one) => one.version === version);
+      const found = received.find((message) => message.version === version);
       if (found) return found;
       await new Promise((resolve) => setTimeout(resolve, 5));
     }
   };
-  await toldOf(0);
+  await messageWith(0);
   const base = { services: [], limits: LIMITS };
   routes.adopt({ ...base, version: 1, routes: routesOf(40) });
-  states.tell();
-  assert.equal((await toldOf(1)).config?.routes.length, 40);
+  stateServer.broadcast();
+  assert.equal((await messageWith(1)).config?.routes.length, 40);
   routes.adopt({ ...base, version: 2, routes: routesOf(2000) });
-  states.tell();
-  assert.equal((await toldOf(2)).config, undefined);
+  stateServer.broadcast();
+  assert.equal((await messageWith(2)).config, undefined);
   link.close();
 });
--- a/test/gateway/state/store_loops_test.ts
+++ b/test/gateway/state/store_loops_test.ts
@@ -1,4 +1,4 @@
-/** How often a host calls the store, and when it gives a call up. */
+/** Tests how often a host calls the store, and when a call times out. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { GatewayContext } from "../../../src/gateway/context.ts";
@@ -12,14 +12,14 @@
 import { neverSuspended } from "../never_suspended.ts";
 import { quietEras } from "../quiet_eras.ts";
 
-/** When a host whose store is away calls it, over ten seconds. */
-async function callsWhileAway(reader: string): Promise<string[]> {
+/** The calls that a host makes in ten seconds while the store is unavailable. */
+async function callsWhileUnavailable(reader: string): Promise<string[]> {
   const calls: string[] = [];
   const timers: { at: number; work: () => void }[] = [];
   const time = { now: 0 };
   const fail = (kind: string) => () => {
     calls.push(`${kind} ${time.now}`);
-    return Promise.reject(new Error("Away"));
+    return Promise.reject(new Error("Unavailable"));
   };
   const routes = new RouteTable();
   const limits = { bodyBytes: 1, headerMs: 1, idleMs: 1 };
@@ -49,15 +49,15 @@
     } as unknown as Store,
     times: { listMs: 700, timeoutMs: 700, watchMs: 1500 },
     synchronizer: {
-      keepsMissing: () => true,
+      retainsMissing: () => true,
       isTold: () => false,
-      noteStore: () => undefined,
+      noteStoreRead: () => undefined,
     } as unknown as Synchronizer,
     follower: { reader } as HallFollower,
   });
   loops.start();
   for (; time.now < 10_000; time.now += 50) {
-    for (const due of timers.filter((one) => one.at <= time.now)) {
+    for (const due of timers.filter((timer) => timer.at <= time.now)) {
       timers.splice(timers.indexOf(due), 1);
       due.work();
     }
@@ -67,21 +67,21 @@
   return calls;
 }
 
-test("while the store is away its reader asks often, followers ever less", async () => {
-  const reader = await callsWhileAway("self");
-  const follower = await callsWhileAway("other");
+test("while the store is unavailable the reader retries often, and followers back off", async () => {
+  const reader = await callsWhileUnavailable("self");
+  const follower = await callsWhileUnavailable("other");
   const listings = (calls: string[]) =>
-    calls.filter((one) => one.startsWith("list")).length;
+    calls.filter((call) => call.startsWith("list")).length;
   assert.ok(listings(reader) >= 30, String(listings(reader)));
   assert.ok(listings(follower) <= 5, String(listings(follower)));
   for (const calls of [reader, follower]) {
-    const others = calls.filter((one) => !one.startsWith("list"));
+    const others = calls.filter((call) => !call.startsWith("list"));
     assert.ok(others.length <= 1, others.join(", "));
   }
 });
 
-/** A store that answers a listing after a time, and counts the watches. */
-function startSlowStore(listTakesMs: number) {
+/** Starts loops with a store whose listings take `listDurationMs`; counts its calls. */
+function startSlowStore(listDurationMs: number) {
   const timers: { at: number; work: () => void }[] = [];
   const time = { now: 0 };
   const after = (delayMs: number, work: () => void) => {
@@ -117,7 +117,7 @@
         return new Promise((resolve, reject) => {
           signal.addEventListener("abort", () => reject(new Error("Aborted")));
           const listing = { revision: 1, entries: [], nowMs: time.now };
-          after(listTakesMs, () => resolve(listing));
+          after(listDurationMs, () => resolve(listing));
         });
       },
       watchReplicas: ({ revision }: StorePlace, waitMs: number) => {
@@ -133,12 +133,12 @@
     } as unknown as Store,
     times: { listMs: 700, timeoutMs: 700, watchMs: 1200 },
     synchronizer: {
-      keepsMissing: () => false,
+      retainsMissing: () => false,
       isTold: () => false,
       noteNewest: () => undefined,
       takeListing: () => read.push("listing") > 0,
-      takeChanges: () => read.push("changes") > 0,
-      noteStore: (answered: boolean) => {
+      applyChanges: () => read.push("changes") > 0,
+      noteStoreRead: (answered: boolean) => {
         if (!answered) read.push("lost");
       },
     } as unknown as Synchronizer,
@@ -149,7 +149,7 @@
   });
   const run = async (until: number) => {
     for (; time.now < until; time.now += 50) {
-      for (const due of timers.filter((one) => one.at <= time.now)) {
+      for (const due of timers.filter((timer) => timer.at <= time.now)) {
         timers.splice(timers.indexOf(due), 1);
         due.work();
       }
@@ -161,14 +161,14 @@
   return { run, calls, read };
 }
 
-test("a first listing that takes longer than a call is waited for", async () => {
+test("a first listing may take longer than the timeout of a call", async () => {
   const { run, read } = startSlowStore(1800);
   await run(2500);
   assert.equal(read[0], "listing");
   assert.ok(!read.includes("lost"));
 });
 
-test("after a listing only changes are asked for, about once a pause", async () => {
+test("after the first listing only changes are requested, about once per interval", async () => {
   const { run, calls, read } = startSlowStore(50);
   await run(7500);
   assert.equal(calls.lists, 1);
--- a/test/gateway/state/store_restored_fleet_test.ts
+++ b/test/gateway/state/store_restored_fleet_test.ts
@@ -1,4 +1,4 @@
-/** Fleets whose store comes back from copies at any moment, in virtual time. */
+/** Tests fleets whose store is restored at random times, in virtual time. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { xoroshiro128plus } from "pure-rand";
@@ -8,10 +8,10 @@
 import { routesOf } from "./routes_of.ts";
 import { StateFleet } from "./state_fleet.ts";
 
-const FORMED_MS = 8000;
-/** What was lost is written again by then. */
-const AGAIN_MS = 1500;
-const CALM_MS = 6000;
+const STARTUP_MS = 8000;
+/** Maximum time until lost writes are repeated. */
+const REWRITE_MS = 1500;
+const SETTLED_MS = 6000;
 const SEEDS = 40;
 const STEPS = 25;
 
@@ -20,7 +20,7 @@
   return { version, routes: routesOf(2), services: [], limits };
 }
 
-/** The operator and the replicas, who write again what the store has lost. */
+/** Simulates the operator and the replicas, which repeat lost writes. */
 class Writers {
   readonly #fleet: StateFleet;
   readonly live = new Set<string>();
@@ -47,7 +47,7 @@
     this.#fleet.store.unlist(id);
   }
 
-  writeAgain(): void {
+  rewriteAll(): void {
     const { store } = this.#fleet;
     store.publish(configOf(this.version));
     for (const id of this.#known) {
@@ -57,17 +57,17 @@
   }
 }
 
-test("whatever is lost and written again, all hosts come to what the writers say, and none goes back", async () => {
+test("after random restores all hosts converge to the writers' state, and none reverts to an older version", async () => {
   for (let seed = 1; seed <= SEEDS; seed++) {
     const random = xoroshiro128plus(seed);
-    const tellsEra = seed % 4 !== 0;
-    const fleet = new StateFleet(7, seed, { tellsEra });
+    const reportsEra = seed % 4 !== 0;
+    const fleet = new StateFleet(7, seed, { reportsEra });
     const { store, hosts } = fleet;
     const writers = new Writers(fleet);
     writers.publish();
     for (const id of ["a", "b", "c"]) writers.start(id);
-    await fleet.runTo(FORMED_MS);
-    let copy = store.copy();
+    await fleet.runTo(STARTUP_MS);
+    let backup = store.backUp();
     const newest = new Map<string, number>();
     for (let step = 0; step < STEPS; step++) {
       const host = hosts[draw(random, hosts.length)];
@@ -84,16 +84,16 @@
           writers.end(id);
           break;
         case 3:
-          store.pass(draw(random, 20));
+          store.advanceRevision(draw(random, 20));
           break;
         case 4:
-          copy = store.copy();
+          backup = store.backUp();
           break;
         case 5:
-          store.restore(copy);
-          await fleet.runTo(fleet.now + draw(random, AGAIN_MS));
-          writers.writeAgain();
-          copy = store.copy();
+          store.restore(backup);
+          await fleet.runTo(fleet.now + draw(random, REWRITE_MS));
+          writers.rewriteAll();
+          backup = store.backUp();
           break;
         case 6:
           store.treat(host.entry.id, "reset");
@@ -109,9 +109,11 @@
       }
     }
     for (const { entry } of hosts) store.treat(entry.id, "served");
-    await fleet.runTo(fleet.now + CALM_MS);
+    await fleet.runTo(fleet.now + SETTLED_MS);
     for (const { entry, routes, context } of hosts) {
-      const open = context.replicas.openOf("s").map((one) => one.entry.id);
+      const open = context.replicas.openOf("s").map((replica) =>
+        replica.entry.id
+      );
       const at = `Seed ${seed}: ${entry.id}`;
       assert.equal(routes.version, writers.version, at);
       assert.deepEqual(open.sort(), [...writers.live].sort(), at);
@@ -119,21 +121,21 @@
   }
 });
 
-test("a store that comes back without being away is listed by few of 88 hosts", async () => {
+test("few of 88 hosts list the replicas after a restore without an outage", async () => {
   const fleet = new StateFleet(88, 5);
   const { store } = fleet;
   store.publish(configOf(1));
   for (const id of ["a", "b", "c"]) store.list(replicaEntry(id));
-  await fleet.runTo(FORMED_MS);
-  const copy = store.copy();
-  store.pass(20);
+  await fleet.runTo(STARTUP_MS);
+  const backup = store.backUp();
+  store.advanceRevision(20);
   await fleet.runTo(fleet.now + 3000);
   const before = store.calls.get("replicas") ?? 0;
   await fleet.runTo(fleet.now + 4000);
-  const usual = (store.calls.get("replicas") ?? 0) - before;
-  store.restore(copy);
+  const normal = (store.calls.get("replicas") ?? 0) - before;
+  store.restore(backup);
   const restoredAt = store.calls.get("replicas") ?? 0;
   await fleet.runTo(fleet.now + 4000);
   const after = (store.calls.get("replicas") ?? 0) - restoredAt;
-  assert.ok(after <= 2 * usual + 3, `${usual} calls before, ${after} after`);
+  assert.ok(after <= 2 * normal + 3, `${normal} calls before, ${after} after`);
 });
--- a/test/gateway/state/store_restored_test.ts
+++ b/test/gateway/state/store_restored_test.ts
@@ -1,20 +1,7 @@
 /**
- * What the store confirms after it came back from an older copy of itself is in
- * force in time.
- *
- * What was seen: the store was away for some seconds and answered again. Three
- * seconds later it confirmed a version of the configuration and that a replica
- * leaves; up to 3.4 s after that hosts still answered as of the version before
- * and sent requests to the replica, with no line in any log.
- * How it came about: the store had come back from a copy some seconds old, so its
- * revisions were lower than those that hosts had seen. They dropped each answer
- * as older than what they held, did not take the store for answering, and did not
- * watch the configuration, until the counter had passed the old place.
- * The cause: a revision was taken for a place in one history that only grows.
- * After a restore it is a place in another history, and says nothing of the first.
- * What proved it: in this fleet no host hears of what is confirmed while the
- * counter is below the old place; and where the counter has passed that place
- * before anybody reads, what was written below it is never heard of.
+ * Tests that writes confirmed after a store restore take effect in time. Hosts once
+ * dropped all responses of the restored store as stale until its revision exceeded
+ * the old one, and missed writes below it for good.
  */
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -23,17 +10,18 @@
 import { routesOf } from "./routes_of.ts";
 import { type FleetHost, StateFleet } from "./state_fleet.ts";
 
-/** What was confirmed has to be in force after this time. */
+/** Time within which a confirmed write has to take effect. */
 const IN_FORCE_MS = 2000;
-/** Nobody is late for what was confirmed before the store was calm so long. */
-const CALM_MS = 3000;
-const FORMED_MS = 8000;
-const COPY_AGE_MS = 3000;
+/** Time after a restore from which writes have to take effect in time. */
+const SETTLED_MS = 3000;
+const STARTUP_MS = 8000;
+const BACKUP_AGE_MS = 3000;
 const SEEDS = 20;
 const HOSTS = 9;
 
+/** Routes of a configuration that is sent over links. */
 const FEW = 3;
-/** A configuration with so many is not told over links, only its version. */
+/** Routes of a configuration that is too large to be sent over links. */
 const MANY = 400;
 
 function configOf(version: number, routes = FEW): RouteConfig {
@@ -42,37 +30,39 @@
 }
 
 const REPLICAS = ["a", "b", "c", "d"].map((id) => replicaEntry(id));
-const [LEAVER] = REPLICAS as [ReplicaEntry];
+const [DRAINING] = REPLICAS as [ReplicaEntry];
 
-type Restore = {
+type RestoreScenario = {
   readonly seed: number;
-  /** How long the store is away. */
-  readonly awayMs: number;
-  /** Writes in the lost seconds, of rows that concern nobody here. */
+  /** Time for which the store is unavailable. */
+  readonly outageMs: number;
+  /** Writes of unrelated rows that the restore loses. */
   readonly lostWrites: number;
-  readonly tellsEra?: boolean;
+  readonly reportsEra?: boolean;
 };
 
-/** A fleet whose store has just come back, all written again that was lost. */
-async function restored(play: Restore): Promise<StateFleet> {
-  const { tellsEra = true } = play;
-  const fleet = new StateFleet(HOSTS, play.seed, { tellsEra });
+/** Creates a fleet whose store was just restored and its lost writes repeated. */
+async function createRestoredFleet(
+  scenario: RestoreScenario,
+): Promise<StateFleet> {
+  const { reportsEra = true } = scenario;
+  const fleet = new StateFleet(HOSTS, scenario.seed, { reportsEra });
   const { store } = fleet;
-  for (const one of REPLICAS) store.list(one);
+  for (const entry of REPLICAS) store.list(entry);
   store.publish(configOf(1));
-  await fleet.runTo(FORMED_MS + play.seed * 97);
-  const copy = store.copy();
-  await fleet.runTo(fleet.now + COPY_AGE_MS / 2);
-  store.pass(play.lostWrites);
+  await fleet.runTo(STARTUP_MS + scenario.seed * 97);
+  const backup = store.backUp();
+  await fleet.runTo(fleet.now + BACKUP_AGE_MS / 2);
+  store.advanceRevision(scenario.lostWrites);
   store.publish(configOf(2));
-  await fleet.runTo(fleet.now + COPY_AGE_MS / 2);
-  if (play.awayMs > 0) await away(fleet, play.awayMs);
-  store.restore(copy);
+  await fleet.runTo(fleet.now + BACKUP_AGE_MS / 2);
+  if (scenario.outageMs > 0) await interruptStore(fleet, scenario.outageMs);
+  store.restore(backup);
   store.publish(configOf(2));
   return fleet;
 }
 
-async function away(fleet: StateFleet, forMs: number): Promise<void> {
+async function interruptStore(fleet: StateFleet, forMs: number): Promise<void> {
   const { hosts, store } = fleet;
   for (const { entry } of hosts) store.treat(entry.id, "reset");
   await fleet.runTo(fleet.now + forMs);
@@ -84,132 +74,144 @@
   return replicas.openOf("s").some(({ entry }) => entry.id === id);
 }
 
-/** Who is late for a version and a leaving replica confirmed now. */
-async function lateFor(fleet: StateFleet): Promise<string[]> {
+/**
+ * Publishes a version and drains a replica, and returns the hosts at which either
+ * takes effect late.
+ */
+async function findLateHosts(fleet: StateFleet): Promise<string[]> {
   fleet.store.publish(configOf(3));
-  fleet.store.list({ ...LEAVER, leaving: true });
+  fleet.store.list({ ...DRAINING, leaving: true });
   await fleet.runTo(fleet.now + IN_FORCE_MS);
   const isLate = (host: FleetHost) =>
-    host.routes.version < 3 || isOpen(host, LEAVER.id);
+    host.routes.version < 3 || isOpen(host, DRAINING.id);
   return fleet.hosts.filter(isLate).map(({ entry }) => entry.id);
 }
 
-async function assertInTime(play: Omit<Restore, "seed">): Promise<void> {
+async function assertInTime(
+  scenario: Omit<RestoreScenario, "seed">,
+): Promise<void> {
   for (let seed = 0; seed < SEEDS; seed++) {
-    const fleet = await restored({ ...play, seed });
-    await fleet.runTo(fleet.now + CALM_MS);
-    const late = await lateFor(fleet);
+    const fleet = await createRestoredFleet({ ...scenario, seed });
+    await fleet.runTo(fleet.now + SETTLED_MS);
+    const late = await findLateHosts(fleet);
     assert.deepEqual(late, [], `Seed ${seed}: ${late.join()} late`);
     assert.ok(fleet.hosts.every((host) => isOpen(host, "b")));
   }
 }
 
-test("what a store confirms is in force in time after it came back with a lower counter", async () => {
-  await assertInTime({ lostWrites: 40, awayMs: 2500 });
-  await assertInTime({ lostWrites: 40, awayMs: 0 });
+test("writes confirmed after a restore to a lower revision take effect in time", async () => {
+  await assertInTime({ lostWrites: 40, outageMs: 2500 });
+  await assertInTime({ lostWrites: 40, outageMs: 0 });
 });
 
-test("what a store wrote again below a host's old place is heard of after it came back", async () => {
+test("writes after a restore take effect also at revisions that hosts already knew", async () => {
   for (let seed = 0; seed < SEEDS; seed++) {
     const fleet = new StateFleet(HOSTS, seed);
     const { store } = fleet;
-    for (const one of REPLICAS) store.list(one);
+    for (const entry of REPLICAS) store.list(entry);
     store.publish(configOf(1));
-    await fleet.runTo(FORMED_MS + seed * 97);
-    const copy = store.copy();
-    store.pass(5);
-    await fleet.runTo(fleet.now + COPY_AGE_MS);
-    // Written between two looks of any host, and then the counter runs ahead.
-    store.restore(copy);
+    await fleet.runTo(STARTUP_MS + seed * 97);
+    const backup = store.backUp();
+    store.advanceRevision(5);
+    await fleet.runTo(fleet.now + BACKUP_AGE_MS);
+    // Written between two reads of any host; the revision then exceeds the old one.
+    store.restore(backup);
     store.publish(configOf(2));
-    store.list({ ...LEAVER, leaving: true });
-    store.pass(20);
-    await fleet.runTo(fleet.now + CALM_MS + IN_FORCE_MS);
+    store.list({ ...DRAINING, leaving: true });
+    store.advanceRevision(20);
+    await fleet.runTo(fleet.now + SETTLED_MS + IN_FORCE_MS);
     const late = fleet.hosts.filter((host) =>
-      host.routes.version < 2 || isOpen(host, LEAVER.id)
+      host.routes.version < 2 || isOpen(host, DRAINING.id)
     );
     assert.deepEqual(late.map(({ entry }) => entry.id), [], `Seed ${seed}`);
   }
 });
 
-test("what a store confirms is in force in time after it came back twice in a second", async () => {
+test("writes confirmed after two restores within a second take effect in time", async () => {
   for (let seed = 0; seed < SEEDS; seed++) {
-    const fleet = await restored({
+    const fleet = await createRestoredFleet({
       seed,
-      awayMs: 0,
+      outageMs: 0,
       lostWrites: 40,
     });
-    const copy = fleet.store.copy();
-    fleet.store.pass(30);
+    const backup = fleet.store.backUp();
+    fleet.store.advanceRevision(30);
     await fleet.runTo(fleet.now + 600);
-    fleet.store.restore(copy);
-    await fleet.runTo(fleet.now + CALM_MS);
-    assert.deepEqual(await lateFor(fleet), [], `Seed ${seed}`);
+    fleet.store.restore(backup);
+    await fleet.runTo(fleet.now + SETTLED_MS);
+    assert.deepEqual(await findLateHosts(fleet), [], `Seed ${seed}`);
   }
 });
 
-test("a store that names no era and comes back with a lower counter is heard", async () => {
-  const writes = { lostWrites: 40, tellsEra: false };
-  await assertInTime({ ...writes, awayMs: 2500 });
-  await assertInTime({ ...writes, awayMs: 0 });
+test("writes take effect in time after a restore of a store that reports no era", async () => {
+  const writes = { lostWrites: 40, reportsEra: false };
+  await assertInTime({ ...writes, outageMs: 2500 });
+  await assertInTime({ ...writes, outageMs: 0 });
 });
 
-test("hosts that the store turns away, or that are cut off, take the new era from others", async () => {
+test("rejected and partitioned hosts adopt the new era from other hosts", async () => {
   for (let seed = 0; seed < SEEDS; seed++) {
     const fleet = new StateFleet(HOSTS, seed);
     const { store, hosts } = fleet;
-    for (const one of REPLICAS) store.list(one);
+    for (const entry of REPLICAS) store.list(entry);
     store.publish(configOf(1));
-    await fleet.runTo(FORMED_MS + seed * 97);
-    const copy = store.copy();
-    store.pass(40);
+    await fleet.runTo(STARTUP_MS + seed * 97);
+    const backup = store.backUp();
+    store.advanceRevision(40);
     const cutHall = hosts[seed % hosts.length]?.entry.hall;
     const isCut = (host: FleetHost) => host.entry.hall === cutHall;
-    const turnedAway = hosts.filter((one, at) => at % 2 === 0 || isCut(one));
-    await fleet.runTo(fleet.now + COPY_AGE_MS);
-    for (const { entry } of turnedAway) store.treat(entry.id, "silent");
-    fleet.cut((one, other) => isCut(one) !== isCut(other));
-    store.restore(copy);
-    await fleet.runTo(fleet.now + CALM_MS);
-    // What the cut hall holds of the old era has the higher revision.
+    const rejected = hosts.filter((host, at) => at % 2 === 0 || isCut(host));
+    await fleet.runTo(fleet.now + BACKUP_AGE_MS);
+    for (const { entry } of rejected) store.treat(entry.id, "silent");
+    fleet.cut((from, to) => isCut(from) !== isCut(to));
+    store.restore(backup);
+    await fleet.runTo(fleet.now + SETTLED_MS);
+    // The partitioned hall still has the old era's higher revision.
     fleet.cut(() => false);
-    await fleet.runTo(fleet.now + CALM_MS);
+    await fleet.runTo(fleet.now + SETTLED_MS);
     store.publish(configOf(3));
-    store.list({ ...LEAVER, leaving: true });
+    store.list({ ...DRAINING, leaving: true });
     await fleet.runTo(fleet.now + 2 * IN_FORCE_MS);
     const late = hosts.filter((host) =>
-      host.routes.version < 3 || isOpen(host, LEAVER.id)
+      host.routes.version < 3 || isOpen(host, DRAINING.id)
     );
     assert.deepEqual(late.map(({ entry }) => entry.id), [], `Seed ${seed}`);
   }
 });
 
-/** A fleet in whose store version 2 and two replicas' changes were just lost. */
-async function withLoss(seed: number, routes = FEW): Promise<StateFleet> {
+/** Creates a fleet whose restored store lost version 2 and two replica changes. */
+async function createFleetWithLoss(
+  seed: number,
+  routes = FEW,
+): Promise<StateFleet> {
   const fleet = new StateFleet(HOSTS, seed);
   const { store } = fleet;
-  for (const one of REPLICAS) store.list(one);
+  for (const entry of REPLICAS) store.list(entry);
   store.publish(configOf(1, routes));
-  await fleet.runTo(FORMED_MS + seed * 97);
-  const copy = store.copy();
+  await fleet.runTo(STARTUP_MS + seed * 97);
+  const backup = store.backUp();
   store.publish(configOf(2, routes));
   store.unlist("b");
   store.list(replicaEntry("new"));
-  await fleet.runTo(fleet.now + COPY_AGE_MS);
-  store.restore(copy);
+  await fleet.runTo(fleet.now + BACKUP_AGE_MS);
+  store.restore(backup);
   return fleet;
 }
 
-test("what a copy has too much is not used, what it lacks is kept until written again", async () => {
+test("a replica that only the backup lists is unused, and state that it lacks is retained", async () => {
   for (let seed = 0; seed < SEEDS; seed++) {
-    const fleet = await withLoss(seed);
+    const fleet = await createFleetWithLoss(seed);
     const { store, hosts } = fleet;
     const restoredAt = fleet.now;
     const check = () => {
       const used = hosts.filter((host) => isOpen(host, "b"));
       const lost = hosts.filter((host) => !isOpen(host, "new"));
       const old = hosts.filter((host) => host.routes.version < 2);
-      assert.deepEqual([used, lost, old].map((one) => one.length), [0, 0, 0]);
+      assert.deepEqual([used, lost, old].map((wrong) => wrong.length), [
+        0,
+        0,
+        0,
+      ]);
     };
     while (fleet.now < restoredAt + 1700) {
       await fleet.runTo(fleet.now + 50);
@@ -225,15 +227,15 @@
   }
 });
 
-test("a replica that the copy has and that lives is used again", async () => {
-  const fleet = await withLoss(3);
+test("a live replica that the backup lists is used again", async () => {
+  const fleet = await createFleetWithLoss(3);
   await fleet.runTo(fleet.now + 6000);
   assert.ok(fleet.hosts.every((host) => isOpen(host, "b")));
 });
 
-test("no host takes the version in force for the newest while the store may lack newer ones", async () => {
+test("no host considers its version the newest while the store may lack newer versions", async () => {
   for (let seed = 0; seed < SEEDS; seed++) {
-    const fleet = await withLoss(seed);
+    const fleet = await createFleetWithLoss(seed);
     const restoredAt = fleet.now;
     const asOf = ({ context, state }: FleetHost) =>
       context.clock.now() - state.configAgeMs(context.clock.now());
@@ -249,9 +251,9 @@
   }
 });
 
-test("a host that starts on the copy learns what it lacks from others, and vouches for nothing before", async () => {
+test("a host that starts after a restore gets lost state from peers, and reports no configuration age before", async () => {
   for (let seed = 0; seed < SEEDS; seed++) {
-    const fleet = await withLoss(seed, seed % 2 === 0 ? FEW : MANY);
+    const fleet = await createFleetWithLoss(seed, seed % 2 === 0 ? FEW : MANY);
     const host = fleet.add();
     const startedAt = fleet.now;
     while (fleet.now < startedAt + 2000) {
--- a/test/gateway/state/suspension_test.ts
+++ b/test/gateway/state/suspension_test.ts
@@ -1,4 +1,4 @@
-/** What a host believes after its machine was suspended, in virtual time. */
+/** Tests how old a host considers its state after a suspension, in virtual time. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { RouteConfig } from "../../../src/gateway/mod.ts";
@@ -6,42 +6,42 @@
 import { routesOf } from "./routes_of.ts";
 import { type FleetHost, StateFleet } from "./state_fleet.ts";
 
-const FORMED_MS = 10_000;
-/** A follower's word of the configuration is at most so old at rest. */
-const RENEWED_MS = 4000;
+const STARTUP_MS = 10_000;
+/** Maximum age of the configuration at any host of an idle fleet. */
+const MAX_AGE_MS = 4000;
 
-function watch() {
+function createWatch() {
   const clocks = { steady: 100, day: 5_000_000 };
-  const told: number[] = [];
+  const suspendedMs: number[] = [];
   const suspensions = new SuspensionWatch({
     steadyNow: () => clocks.steady,
     dayNow: () => clocks.day,
   });
-  suspensions.listen((forMs) => told.push(forMs));
-  const pass = (steadyMs: number, dayMs = steadyMs) => {
+  suspensions.listen((forMs) => suspendedMs.push(forMs));
+  const advance = (steadyMs: number, dayMs = steadyMs) => {
     clocks.steady += steadyMs;
     clocks.day += dayMs;
     return suspensions.check();
   };
-  return { pass, told };
+  return { advance, suspendedMs };
 }
 
-test("a time of day that runs ahead of the steady clock is a suspension", () => {
-  for (const sleptMs of [500, 3000, 20_000]) {
-    const { pass, told } = watch();
-    assert.equal(pass(1000), 0);
-    assert.equal(pass(10, 10 + sleptMs), 1);
-    assert.equal(pass(1000), 1);
-    assert.deepEqual(told, [sleptMs]);
+test("a wall clock that runs ahead of the steady clock indicates a suspension", () => {
+  for (const durationMs of [500, 3000, 20_000]) {
+    const { advance, suspendedMs } = createWatch();
+    assert.equal(advance(1000), 0);
+    assert.equal(advance(10, 10 + durationMs), 1);
+    assert.equal(advance(1000), 1);
+    assert.deepEqual(suspendedMs, [durationMs]);
   }
 });
 
-test("clocks that drift or a time of day that steps back are none", () => {
-  const { pass, told } = watch();
-  for (let second = 0; second < 3600; second++) pass(1000, 1000.5);
-  pass(1000, -4000);
-  pass(1000);
-  assert.deepEqual(told, []);
+test("clock drift and a wall clock that steps back indicate no suspension", () => {
+  const { advance, suspendedMs } = createWatch();
+  for (let second = 0; second < 3600; second++) advance(1000, 1000.5);
+  advance(1000, -4000);
+  advance(1000);
+  assert.deepEqual(suspendedMs, []);
 });
 
 function configOf(version: number): RouteConfig {
@@ -49,39 +49,45 @@
   return { version, routes: routesOf(1), services: [], limits };
 }
 
-/** The host of a role. */
-function hostOf(fleet: StateFleet, role: string): FleetHost {
-  const host = fleet.hosts.find((one) => fleet.roleOf(one) === role);
+/** The first host with a role. */
+function hostWithRole(fleet: StateFleet, role: string): FleetHost {
+  const host = fleet.hosts.find((candidate) =>
+    fleet.roleOf(candidate) === role
+  );
   assert.ok(host);
   return host;
 }
 
 for (const role of ["reader", "relay", "follower"]) {
-  for (const sleptMs of [500, 3000, 20_000]) {
-    test(`a ${role} that slept ${sleptMs} ms holds no word for fresher than it is`, async () => {
-      const fleet = new StateFleet(9, sleptMs);
+  for (const durationMs of [500, 3000, 20_000]) {
+    test(`a ${role} suspended for ${durationMs} ms does not underestimate the age of its configuration`, async () => {
+      const fleet = new StateFleet(9, durationMs);
       fleet.store.publish(configOf(1));
-      await fleet.runTo(FORMED_MS);
-      const host = hostOf(fleet, role);
+      await fleet.runTo(STARTUP_MS);
+      const host = hostWithRole(fleet, role);
       const { clock, suspensions } = host.context;
       const ageMs = () => {
         suspensions.check();
         return host.state.configAgeMs(clock.now());
       };
-      assert.ok(ageMs() < RENEWED_MS);
-      fleet.suspend(host, sleptMs);
-      // What waits for the host at its wake was told just before the change.
-      await fleet.runTo(FORMED_MS + sleptMs - 1);
+      assert.ok(ageMs() < MAX_AGE_MS);
+      fleet.suspend(host, durationMs);
+      // Messages waiting for the resumed host were sent just before this change.
+      await fleet.runTo(STARTUP_MS + durationMs - 1);
       fleet.store.publish(configOf(2));
       const changedAt = fleet.now;
-      for (let at = FORMED_MS + sleptMs; at < FORMED_MS + sleptMs + 500; at++) {
+      for (
+        let at = STARTUP_MS + durationMs;
+        at < STARTUP_MS + durationMs + 500;
+        at++
+      ) {
         await fleet.runTo(at);
         const isOld = host.routes.version < 2;
         const asOf = fleet.now - ageMs();
         assert.ok(!isOld || asOf <= changedAt, `${at}: ${asOf}`);
       }
-      await fleet.runTo(FORMED_MS + sleptMs + RENEWED_MS);
-      assert.ok(ageMs() < RENEWED_MS);
+      await fleet.runTo(STARTUP_MS + durationMs + MAX_AGE_MS);
+      assert.ok(ageMs() < MAX_AGE_MS);
       assert.equal(host.routes.version, 2);
     });
   }
--- a/test/gateway/state/synchronizer_test.ts
+++ b/test/gateway/state/synchronizer_test.ts
@@ -1,4 +1,4 @@
-/** What a host believes of the store, and how old it takes that to be. */
+/** Tests which store state a host applies, and how old it considers the state. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { GatewayContext } from "../../../src/gateway/context.ts";
@@ -8,8 +8,8 @@
 import { positionOf } from "../../../src/gateway/position.ts";
 import { quietWatch } from "../crashes/quiet_watch.ts";
 import { replicaEntry } from "../replica_entry.ts";
-import type { VersionNews } from "../../../src/gateway/state/config_catchup.ts";
-import type { ReaderWord } from "../../../src/gateway/state/hall_follower.ts";
+import type { VersionAnnouncement } from "../../../src/gateway/state/config_catchup.ts";
+import type { ReaderReport } from "../../../src/gateway/state/hall_follower.ts";
 import type { StateMessage } from "../../../src/gateway/state/state_messages.ts";
 import { Synchronizer } from "../../../src/gateway/state/synchronizer.ts";
 import { quietEras } from "../quiet_eras.ts";
@@ -18,8 +18,8 @@
 
 function start(isRelay = false) {
   const time = { now: 0 };
-  const told: number[] = [];
-  const news: VersionNews[] = [];
+  const changedAt: number[] = [];
+  const announced: VersionAnnouncement[] = [];
   const replicas = new ReplicaTable();
   const routes = new RouteTable();
   const context = {
@@ -34,29 +34,29 @@
   const synchronizer = new Synchronizer({
     context,
     onConfig: () => undefined,
-    onChange: () => told.push(time.now),
-    onNews: (one) => news.push(one),
+    onChange: () => changedAt.push(time.now),
+    onVersionAnnounced: (announcement) => announced.push(announcement),
     onLeaving: () => undefined,
     isRelay: () => isRelay,
   });
   const read = (revision: number, entries: readonly ReplicaEntry[]) => {
-    const taken = synchronizer.takeListing({ revision, entries }, "store");
-    synchronizer.noteStore(taken, time.now);
+    const applied = synchronizer.takeListing({ revision, entries }, "store");
+    synchronizer.noteStoreRead(applied, time.now);
   };
-  return { time, replicas, routes, synchronizer, read, told, news };
+  return { time, replicas, routes, synchronizer, read, changedAt, announced };
 }
 
-/** A reader's word that says nothing of the configuration's age. */
-function wordOf(message: StateMessage): ReaderWord {
+/** A reader's report that does not include the configuration's age. */
+function reportOf(message: StateMessage): ReaderReport {
   const configAsOf = undefined;
   return { reader: "reader", address: "address", message, configAsOf };
 }
 
-test("a replica missing right after the store was away is kept a while", () => {
+test("a replica missing from a listing right after an outage is retained for a while", () => {
   const { time, replicas, synchronizer, read } = start();
   read(1, [REPLICA]);
   time.now = 1000;
-  synchronizer.noteStore(false, time.now);
+  synchronizer.noteStoreRead(false, time.now);
   time.now = 2000;
   read(2, []);
   assert.equal(replicas.openOf("s").length, 1);
@@ -68,7 +68,7 @@
   assert.equal(replicas.openOf("s").length, 0);
 });
 
-test("a replica missing while the store answers is gone at once", () => {
+test("a replica missing from a listing while the store responds is removed at once", () => {
   const { time, replicas, read } = start();
   read(1, [REPLICA]);
   time.now = 700;
@@ -76,80 +76,80 @@
   assert.equal(replicas.openOf("s").length, 0);
 });
 
-test("a reader's word is as old as the reader says, and so is ours", () => {
+test("the store state is as old as the reader reports", () => {
   const { time, synchronizer } = start();
   time.now = 10_000;
-  const word = { type: "state", version: 0 } as const;
-  synchronizer.takeState(wordOf({ ...word, ageMs: 400 }));
+  const message = { type: "state", version: 0 } as const;
+  synchronizer.applyReport(reportOf({ ...message, ageMs: 400 }));
   assert.equal(synchronizer.storeAgeMs(10_000), 400);
   assert.equal(synchronizer.isTold(10_500), true);
   assert.equal(synchronizer.isTold(11_000), false);
 });
 
-test("a relay reads for itself before its followers would", () => {
+test("a relay reads the store before its followers would", () => {
   const { time, synchronizer } = start(true);
   time.now = 10_000;
-  const word = { type: "state", version: 0, ageMs: 0 } as const;
-  synchronizer.takeState(wordOf(word));
+  const message = { type: "state", version: 0, ageMs: 0 } as const;
+  synchronizer.applyReport(reportOf(message));
   assert.equal(synchronizer.isTold(10_999), true);
   assert.equal(synchronizer.isTold(11_000), false);
 });
 
-test("each newer word of the store is told on at once, an older one is not", () => {
-  const { time, synchronizer, told } = start();
+test("a newer report is forwarded at once, an older one is not", () => {
+  const { time, synchronizer, changedAt } = start();
   time.now = 10_000;
-  const word = { type: "state", version: 0 } as const;
-  synchronizer.takeState(wordOf({ ...word, ageMs: 100 }));
+  const message = { type: "state", version: 0 } as const;
+  synchronizer.applyReport(reportOf({ ...message, ageMs: 100 }));
   time.now = 10_300;
-  synchronizer.takeState(wordOf({ ...word, ageMs: 400 }));
+  synchronizer.applyReport(reportOf({ ...message, ageMs: 400 }));
   time.now = 10_700;
-  synchronizer.takeState(wordOf({ ...word, ageMs: 50 }));
-  assert.deepEqual(told, [10_000, 10_700]);
+  synchronizer.applyReport(reportOf({ ...message, ageMs: 50 }));
+  assert.deepEqual(changedAt, [10_000, 10_700]);
 });
 
-test("a reader that heard nothing of the store tells nothing fresh", () => {
+test("a report without an age is not fresh", () => {
   const { time, synchronizer } = start();
   time.now = 10_000;
-  synchronizer.takeState(wordOf({ type: "state", version: 0 }));
+  synchronizer.applyReport(reportOf({ type: "state", version: 0 }));
   assert.equal(synchronizer.isTold(10_000), false);
   assert.equal(synchronizer.storeAgeMs(10_000), Infinity);
 });
 
-test("a version that is heard of is told on at once, and fetched until it is held", () => {
-  const { synchronizer, routes, news, told } = start();
-  const word = { type: "state", version: 3 } as const;
-  synchronizer.takeState(wordOf(word));
-  assert.deepEqual(news, [{ version: 3, holder: "address" }]);
+test("an announced version is forwarded at once, and fetched until this host has it", () => {
+  const { synchronizer, routes, announced, changedAt } = start();
+  const message = { type: "state", version: 3 } as const;
+  synchronizer.applyReport(reportOf(message));
+  assert.deepEqual(announced, [{ version: 3, holder: "address" }]);
   assert.equal(routes.newestVersion, 3);
-  assert.equal(told.length, 1);
-  synchronizer.takeState(wordOf(word));
-  assert.equal(news.length, 2);
-  assert.equal(told.length, 1);
+  assert.equal(changedAt.length, 1);
+  synchronizer.applyReport(reportOf(message));
+  assert.equal(announced.length, 2);
+  assert.equal(changedAt.length, 1);
   synchronizer.takeConfig(configOf(3), "store");
-  synchronizer.takeState(wordOf(word));
-  assert.equal(news.length, 2);
+  synchronizer.applyReport(reportOf(message));
+  assert.equal(announced.length, 2);
 });
 
-test("a reader that heard of a version and lacks it is not named as its holder", () => {
-  const { synchronizer, routes, news } = start();
-  synchronizer.takeState(wordOf({ type: "state", version: 3, newest: 5 }));
-  assert.deepEqual(news, [{ version: 5 }]);
+test("a reader that lacks an announced version is not named as its holder", () => {
+  const { synchronizer, routes, announced } = start();
+  synchronizer.applyReport(reportOf({ type: "state", version: 3, newest: 5 }));
+  assert.deepEqual(announced, [{ version: 5 }]);
   assert.equal(routes.newestVersion, 5);
 });
 
-test("a host that keeps missing replicas has nothing to tell its followers", () => {
+test("a host that retains missing replicas reports no age to its followers", () => {
   const { time, synchronizer, read } = start();
   read(1, [REPLICA]);
-  assert.equal(synchronizer.tellableAgeMs(100), 100);
+  assert.equal(synchronizer.reportableAgeMs(100), 100);
   time.now = 1000;
-  synchronizer.noteStore(false, time.now);
-  assert.equal(synchronizer.tellableAgeMs(1000), Infinity);
+  synchronizer.noteStoreRead(false, time.now);
+  assert.equal(synchronizer.reportableAgeMs(1000), Infinity);
   time.now = 2000;
   read(2, []);
-  assert.equal(synchronizer.tellableAgeMs(2500), Infinity);
+  assert.equal(synchronizer.reportableAgeMs(2500), Infinity);
   time.now = 4100;
   read(3, []);
-  assert.equal(synchronizer.tellableAgeMs(4200), 100);
+  assert.equal(synchronizer.reportableAgeMs(4200), 100);
 });
 
 const LIMITS = { bodyBytes: 1, headerMs: 1, idleMs: 1 };
@@ -158,46 +158,48 @@
   return { version, routes: [], services: [], limits: LIMITS };
 }
 
-test("the configuration is as old as the moment at which the store was asked", () => {
+test("the age of the configuration counts from the start of the call to the store", () => {
   const { synchronizer } = start();
   assert.equal(synchronizer.configAgeMs(100), Infinity);
   synchronizer.takeConfig(configOf(1), "store");
   synchronizer.noteNewest(1, 100);
   assert.equal(synchronizer.configAgeMs(600), 500);
-  // A word that comes late says nothing newer.
+  // A late report of an earlier time changes nothing.
   synchronizer.noteNewest(1, 50);
   assert.equal(synchronizer.configAgeMs(600), 500);
 });
 
-test("a version that is heard of and not held makes no word fresh", () => {
+test("a report about a version that this host lacks does not renew the configuration's age", () => {
   const { time, synchronizer } = start();
   synchronizer.takeConfig(configOf(1), "store");
   synchronizer.noteNewest(1, 100);
   time.now = 1000;
   const message = { type: "state", version: 2 } as const;
-  synchronizer.takeState({ ...wordOf(message), configAsOf: 990 });
+  synchronizer.applyReport({ ...reportOf(message), configAsOf: 990 });
   assert.equal(synchronizer.configAgeMs(1000), 900);
   const newer = { ...message, config: configOf(2) };
-  synchronizer.takeState({ ...wordOf(newer), configAsOf: 990 });
+  synchronizer.applyReport({ ...reportOf(newer), configAsOf: 990 });
   assert.equal(synchronizer.configAgeMs(1000), 10);
 });
 
-test("a reader's word of an earlier era of the store is no fresh word", () => {
+test("a report of an earlier era is not fresh", () => {
   const { time, synchronizer, routes } = start();
   time.now = 10_000;
-  const word = { type: "state", version: 1, ageMs: 0 } as const;
-  synchronizer.takeState(wordOf({ ...word, era: 2 }));
+  const message = { type: "state", version: 1, ageMs: 0 } as const;
+  synchronizer.applyReport(reportOf({ ...message, era: 2 }));
   assert.equal(synchronizer.isTold(10_500), true);
   time.now = 11_000;
-  // Nor is that of a reader that knows of no eras; its version counts all the same.
+  // Nor is a report without an era; its configuration is applied all the same.
   for (const era of [{ era: 1 }, {}]) {
-    synchronizer.takeState(wordOf({ ...word, ...era, config: configOf(3) }));
+    synchronizer.applyReport(
+      reportOf({ ...message, ...era, config: configOf(3) }),
+    );
     assert.equal(synchronizer.storeAgeMs(11_000), 1000);
   }
   assert.equal(routes.version, 3);
 });
 
-test("a listing of an earlier era that comes late is not taken", () => {
+test("a late listing of an earlier era is not applied", () => {
   const { synchronizer, replicas, time } = start();
   const listing = (era: number, revision: number, id: string) => ({
     revision: positionOf(era, revision),
@@ -205,9 +207,11 @@
   });
   assert.ok(synchronizer.takeListing(listing(1, 30, "a"), "store"));
   time.now = 5000;
-  const told = { type: "state", version: 0, era: 2 } as const;
-  synchronizer.takeState(wordOf({ ...told, ageMs: 0 }));
+  const message = { type: "state", version: 0, era: 2 } as const;
+  synchronizer.applyReport(reportOf({ ...message, ageMs: 0 }));
   assert.equal(synchronizer.takeListing(listing(1, 31, "b"), "peer"), false);
-  assert.deepEqual(replicas.openOf("s").map((one) => one.entry.id), ["a"]);
+  assert.deepEqual(replicas.openOf("s").map((replica) => replica.entry.id), [
+    "a",
+  ]);
   assert.ok(synchronizer.takeListing(listing(2, 7, "c"), "store"));
 });
--- a/test/gateway/state/until_aborted.ts
+++ b/test/gateway/state/until_aborted.ts
@@ -1,12 +1,12 @@
-/** Calls that their caller gives up. */
+/** Abortable promises. */
 
-/** As the work, but rejects when the signal ends the call. */
+/** Settles as `work`, or rejects when the signal aborts. */
 export function untilAborted<Value>(
   signal: AbortSignal,
   work: Promise<Value>,
 ): Promise<Value> {
   return new Promise((resolve, reject) => {
-    signal.addEventListener("abort", () => reject(new Error("Given up")));
+    signal.addEventListener("abort", () => reject(new Error("Aborted")));
     work.then(resolve, reject);
   });
 }
