--- a/src/gateway/requests/attempts.ts
+++ b/src/gateway/requests/attempts.ts
@@ -1,143 +1,151 @@
-/** What is certain of a request's sends so far, and whether one more may go. */
+/** Tracks the sends of one request and decides whether another is allowed. */
 import type { GatewayContext } from "../context.ts";
 import type { ReplicaEntry } from "../replicas/model.ts";
 import { repeatable } from "../routing/model.ts";
 import type { GatewayRequest } from "./request.ts";
 
-/** Sends of one request, those that did not run included. */
-const MOST_SENDS = 4;
+/** Maximum sends of one request, including those that did not run. */
+const MAX_SENDS = 4;
 
-/** The sends of one request. */
+/** Counts the sends of one request and charges them to the retry budget. */
 export class Attempts {
   readonly #context: GatewayContext;
   readonly #request: GatewayRequest;
   readonly #excluded = new Set<string>();
-  /** Replicas whose answer was cut off once. */
-  readonly #cut = new Set<string>();
+  /** Replicas that have interrupted a response to this request. */
+  readonly #interrupted = new Set<string>();
   #sends = 0;
-  /** Arrivals at replicas that count against the retry budget. */
+  /** Arrivals at replicas that count towards the retry budget. */
   #arrivals = 0;
-  /** Arrivals beyond the first that the budget has given. */
-  #paid = 0;
-  /** A replica has taken up a prefill: the first such is no repeat. */
-  #isPrefillUsed = false;
-  /** Replicas where it may have run. */
-  #runs = 0;
+  /** Arrivals beyond the first that have been charged to the budget. */
+  #charged = 0;
+  /** A replica has accepted a prefill; only the first one is free of charge. */
+  #isPrefillAccepted = false;
+  /** Sends that may have run. */
+  #possibleRuns = 0;
 
   constructor(context: GatewayContext, request: GatewayRequest) {
     this.#context = context;
     this.#request = request;
   }
 
-  /** Replicas that are not to be tried again. */
+  /** Incarnations that must not be tried again. */
   get excluded(): ReadonlySet<string> {
     return this.#excluded;
   }
 
-  /** Sends so far. */
   get sends(): number {
     return this.#sends;
   }
 
-  /** A send is out, or an earlier one may have run. */
+  /** Whether a send is in progress or an earlier one may have run. */
   get mayHaveRun(): boolean {
-    return this.#runs > 0;
+    return this.#possibleRuns > 0;
   }
 
-  /** An earlier send may have run, or the caller has a part of the answer. */
-  get begun(): boolean {
+  /**
+   * Like {@link mayHaveRun}, and also true when the caller resumes a stream that
+   * it has received in part.
+   */
+  get mayHaveRunAnywhere(): boolean {
     return this.mayHaveRun || this.#request.facts.lastEventId !== undefined;
   }
 
-  /** The request's time is not over. */
-  get inTime(): boolean {
+  get hasTimeLeft(): boolean {
     return this.#context.clock.now() < this.#request.limitAt;
   }
 
-  /** The route has no run left after the one under way. */
+  /** Whether the route allows no further run. */
   get isLast(): boolean {
-    return this.#runs >= this.#request.route.attempts;
+    return this.#possibleRuns >= this.#request.route.attempts;
   }
 
-  /** A send goes out. */
-  begin(): void {
+  /** Counts a send before it starts. */
+  noteSent(): void {
     this.#sends += 1;
-    this.#runs += 1;
+    this.#possibleRuns += 1;
     this.#arrivals += 1;
   }
 
-  /** The last send did not run and will not. */
-  didNotRun(): void {
-    this.#runs -= 1;
+  /** Records that the last send did not run and never will. */
+  noteNotRun(): void {
+    this.#possibleRuns -= 1;
   }
 
-  /** The last send never reached its replica. */
-  didNotArrive(): void {
-    this.didNotRun();
+  /** Records that the last send never reached its replica. */
+  noteNotArrived(): void {
+    this.noteNotRun();
     this.#sends -= 1;
     this.#arrivals -= 1;
   }
 
-  /** How a prefill went; one that never arrived isn't told. */
-  notePrefill(wasTurnedAway: boolean): void {
-    if (wasTurnedAway || this.#isPrefillUsed) this.#arrivals += 1;
-    if (!wasTurnedAway) this.#isPrefillUsed = true;
+  /** Counts a prefill that arrived at a replica. */
+  notePrefill(wasRejected: boolean): void {
+    if (wasRejected || this.#isPrefillAccepted) this.#arrivals += 1;
+    if (!wasRejected) this.#isPrefillAccepted = true;
   }
 
-  /** The replica is not tried again for this request. */
   exclude(incarnation: string): void {
     this.#excluded.add(incarnation);
   }
 
   /**
-   * The replica's answer was cut off. A model engine stays in use the first
-   * time: it keeps the prompt, and often only the connection was lost.
+   * Records that the replica's response was interrupted. A model engine is not
+   * excluded the first time: it caches the prompt, and often only the connection
+   * was lost.
    */
-  noteCut({ incarnation, stage }: ReplicaEntry): void {
-    const keepsPrompt = stage !== undefined && !this.#cut.has(incarnation);
-    if (!keepsPrompt) this.exclude(incarnation);
-    this.#cut.add(incarnation);
+  noteInterrupted({ incarnation, stage }: ReplicaEntry): void {
+    const hasPromptCached = stage !== undefined &&
+      !this.#interrupted.has(incarnation);
+    if (!hasPromptCached) this.exclude(incarnation);
+    this.#interrupted.add(incarnation);
   }
 
-  /** Whether the route allows another send after one that may have run. */
+  /** Whether the route allows a retry after a send that may have run. */
   get repeatable(): boolean {
     return repeatable(this.#request.route);
   }
 
-  /** Takes another send, if the route, the time and the budget have one. */
-  takeRetry(reason: string): boolean {
+  /** Acquires a retry if the route, the deadline and the budget allow it. */
+  acquireRetry(reason: string): boolean {
     const { events, metrics } = this.#context;
     const { facts: { id: request }, route: { name: route } } = this.#request;
-    if (this.isLast || this.#sends >= MOST_SENDS || !this.inTime) return false;
-    if (!this.affordSend(reason)) return false;
+    if (this.isLast || this.#sends >= MAX_SENDS || !this.hasTimeLeft) {
+      return false;
+    }
+    if (!this.chargeSend(reason)) return false;
     metrics.count("retries");
-    events.note("retried", { request, route, reason, runs: this.#runs });
+    events.note("retried", {
+      request,
+      route,
+      reason,
+      runs: this.#possibleRuns,
+    });
     return true;
   }
 
   /**
-   * Whether the request itself may arrive once more at a replica. The budget
-   * counts arrivals, not decisions to try again: a prefill that was turned away
-   * makes what follows it a repeat. So the fleet keeps within its budget also
-   * while replicas turn most requests away.
+   * Charges the budget for sending the request itself; false if the budget is
+   * exhausted. The budget counts arrivals at replicas rather than retry decisions:
+   * whatever follows a rejected prefill counts as a retry.
    */
-  affordSend(reason: string): boolean {
-    return this.#afford(1, reason);
+  chargeSend(reason: string): boolean {
+    return this.#charge(1, reason);
   }
 
-  /** Whether a prefill may arrive, and after it the request itself. */
-  affordPrefill(): boolean {
-    return this.#afford(this.#isPrefillUsed ? 2 : 1, "A prefill");
+  /** Charges the budget for a prefill and the request that follows it. */
+  chargePrefill(): boolean {
+    return this.#charge(this.#isPrefillAccepted ? 2 : 1, "A prefill");
   }
 
-  /** Takes what `more` arrivals cost; the first of a request costs nothing. */
-  #afford(more: number, reason: string): boolean {
+  /** Charges `count` more arrivals; the first arrival of a request is free. */
+  #charge(count: number, reason: string): boolean {
     const { clock, budget, events, metrics, hostCount } = this.#context;
     const { facts: { id: request }, service, route } = this.#request;
     const hosts = hostCount();
-    while (this.#paid < this.#arrivals + more - 1) {
+    while (this.#charged < this.#arrivals + count - 1) {
       if (budget.take(service, hosts, clock.now())) {
-        this.#paid += 1;
+        this.#charged += 1;
         continue;
       }
       metrics.count("retries_denied");
--- a/src/gateway/requests/availability.ts
+++ b/src/gateway/requests/availability.ts
@@ -1,13 +1,13 @@
-/** Which replicas a host may use for one of its requests now. */
+/** Selects the replicas that this host may use for a request. */
 import type { GatewayContext } from "../context.ts";
 import { ReplicaStage } from "../replicas/model.ts";
 import type { Availability } from "../replicas/replica_gate.ts";
-import type { PlaceRefusal } from "./placement.ts";
+import type { PlacementRefusal } from "./placement.ts";
 import { backoffRefusal } from "./refusals.ts";
 import type { GatewayRequest } from "./request.ts";
 
-/** Replicas that may answer the request, but for those in `excluded`. */
-export function availableFor(
+/** Replicas that may serve the request, except those in `excluded`. */
+export function usableReplicas(
   { gate, routes }: Pick<GatewayContext, "gate" | "routes">,
   { service }: GatewayRequest,
   excluded: ReadonlySet<string>,
@@ -17,12 +17,12 @@
   return gate.available({ service, stage, excluded });
 }
 
-/** Refuses the request if all replicas of its service asked for a pause. */
-export function closedRefusal(
+/** Returns a refusal if all replicas of the request's service back off. */
+export function refusalWhenAllBackOff(
   context: Pick<GatewayContext, "gate" | "routes" | "random">,
   request: GatewayRequest,
-): PlaceRefusal | undefined {
-  const available = availableFor(context, request, new Set());
+): PlacementRefusal | undefined {
+  const available = usableReplicas(context, request, new Set());
   if (available.type === "some") return undefined;
   return backoffRefusal(context, request, available.retryAfterMs);
 }
--- a/src/gateway/requests/create_placer.ts
+++ b/src/gateway/requests/create_placer.ts
@@ -1,13 +1,18 @@
-/** Which kind of places a request wants. */
-import { EnginePlacement, type EngineSource } from "./engine_placement.ts";
+/** Selects the placement strategy for a request. */
+import {
+  EnginePlacement,
+  type EnginePlacementOptions,
+} from "./engine_placement.ts";
 import type { Placer } from "./placement.ts";
 import { PlainPlacement } from "./plain_placement.ts";
 
-/** Finds places at model engines, or at replicas of a plain service. */
-export function createPlacer(source: Omit<EngineSource, "engine">): Placer {
-  const { context, request, places } = source;
+/** Creates a placer for a model engine or for a plain service. */
+export function createPlacer(
+  options: Omit<EnginePlacementOptions, "engine">,
+): Placer {
+  const { context, request, planner } = options;
   const engine = context.routes.service(request.service)?.engine;
   return engine
-    ? new EnginePlacement({ ...source, engine })
-    : new PlainPlacement(context, request, places);
+    ? new EnginePlacement({ ...options, engine })
+    : new PlainPlacement(context, request, planner);
 }
--- a/src/gateway/requests/ending.ts
+++ b/src/gateway/requests/ending.ts
@@ -1,67 +1,75 @@
-/** How a request ends without a whole answer of a replica. */
+/** Writes response headers and errors to the caller. */
 import { type GatewayError, truthfulError } from "../answers.ts";
 import type { EventFields } from "../observe/event_log.ts";
 import type { Attempts } from "./attempts.ts";
-import type { PlaceRefusal } from "./placement.ts";
+import type { PlacementRefusal } from "./placement.ts";
 import type { Reply } from "./request.ts";
 import type { RequestJournal } from "./request_journal.ts";
 
-/** When to come back, and what a refusal was decided on. */
-export type GiveUp = {
+/** Details of a failed request, for the caller and for the log. */
+export type Failure = {
   readonly reason?: string | undefined;
-  readonly seconds?: number | undefined;
+  readonly retryAfterSeconds?: number | undefined;
   readonly basis?: EventFields | undefined;
 };
 
-/** What an ending is told by. */
-export type EndingSource = {
+/** Options of {@link ReplyWriter}. */
+export type ReplyWriterOptions = {
   readonly reply: Reply;
   readonly attempts: Attempts;
   readonly journal: RequestJournal;
 };
 
-/** Tells a caller that there is no answer, or no more of it. */
-export class Ending {
-  readonly #source: EndingSource;
-  #headSent = false;
+/** Writes response headers at most once, and ends requests that fail. */
+export class ReplyWriter {
+  readonly #options: ReplyWriterOptions;
+  #headersSent = false;
 
-  constructor(source: EndingSource) {
-    this.#source = source;
+  constructor(options: ReplyWriterOptions) {
+    this.#options = options;
   }
 
-  /** The caller has the head of an answer. */
-  get headSent(): boolean {
-    return this.#headSent;
+  /** Whether the caller has received response headers. */
+  get headersSent(): boolean {
+    return this.#headersSent;
   }
 
-  /** Passes on the head of a replica's answer, once. */
-  head(status: number, rawHeaders: readonly string[]): void {
-    if (this.#headSent) return;
-    this.#headSent = true;
-    this.#source.reply.head(status, rawHeaders);
+  /** Forwards the headers of a replica's response; later calls do nothing. */
+  writeHead(status: number, rawHeaders: readonly string[]): void {
+    if (this.#headersSent) return;
+    this.#headersSent = true;
+    this.#options.reply.head(status, rawHeaders);
   }
 
-  /** Gives up, with no more than may truthfully be said of what ran. */
-  giveUp(error: GatewayError, { reason, seconds, basis }: GiveUp): void {
-    const { reply, attempts, journal } = this.#source;
-    const told = truthfulError(error, attempts.mayHaveRun);
-    const retryAfter = told === error ? seconds : undefined;
-    const ending = { error: told, reason, retry_after: retryAfter };
-    if (this.#headSent) {
-      journal.ended("broken", ending);
+  /**
+   * Ends the request with an error. The error is replaced by a weaker one if it
+   * claims that nothing ran while a send may have run.
+   */
+  fail(
+    error: GatewayError,
+    { reason, retryAfterSeconds, basis }: Failure,
+  ): void {
+    const { reply, attempts, journal } = this.#options;
+    const sent = truthfulError(error, attempts.mayHaveRun);
+    const retryAfterSent = sent === error ? retryAfterSeconds : undefined;
+    const fields = { error: sent, reason, retry_after: retryAfterSent };
+    if (this.#headersSent) {
+      journal.ended("broken", fields);
       reply.breakOff();
     } else {
       const name = attempts.mayHaveRun ? "failed" : "refused";
-      journal.ended(name, { ...ending, ...basis });
-      reply.fail(told, retryAfter);
+      journal.ended(name, { ...fields, ...basis });
+      reply.fail(sent, retryAfterSent);
     }
   }
 }
 
-/** A refusal of a place, as the caller is told. */
-export function refusalOf({ retryAfterMs, basis }: PlaceRefusal): GiveUp {
-  const seconds = retryAfterMs === undefined
+/** Converts a placement refusal to a failure. */
+export function failureOf(
+  { retryAfterMs, basis }: PlacementRefusal,
+): Failure {
+  const retryAfterSeconds = retryAfterMs === undefined
     ? undefined
     : Math.round(retryAfterMs / 100) / 10;
-  return { seconds, basis };
+  return { retryAfterSeconds, basis };
 }
--- a/src/gateway/requests/engine_placement.ts
+++ b/src/gateway/requests/engine_placement.ts
@@ -1,6 +1,6 @@
 /**
- * Places for requests of model engines: memory at a decode replica first,
- * then the prefill, so that no prompt is read without room for its answer.
+ * Places requests at model engines. Memory at a decode replica is reserved
+ * before the prefill, so that no prompt is processed without room for its output.
  */
 import type { Milliseconds } from "../../util/units.ts";
 import { sleep } from "../clock.ts";
@@ -13,140 +13,155 @@
 import type { Replica } from "../replicas/replica.ts";
 import type { Engine } from "../routing/model.ts";
 import type { Attempts } from "./attempts.ts";
-import { placeGiveUpAt, placementRequestOf } from "./engine_request.ts";
-import { availableFor } from "./availability.ts";
+import { placementDeadline, placementRequestOf } from "./engine_request.ts";
+import { usableReplicas } from "./availability.ts";
 import { backoffRefusal, noteLimit, plannerRefusal } from "./refusals.ts";
 import { reservedTokens } from "./memory.ts";
 import type {
-  PlaceFailure,
   Placement,
-  PlaceNeed,
+  PlacementConstraints,
+  PlacementFailure,
+  PlacementRefusal,
   Placer,
-  PlaceRefusal,
 } from "./placement.ts";
-import { type Export, Prefills } from "./prefill.ts";
-import { nextPlaceId } from "./place_ids.ts";
+import { type Export, PrefillRunner } from "./prefill.ts";
+import { nextAssignmentId } from "./place_ids.ts";
 import type { GatewayRequest } from "./request.ts";
 import {
+  acquireReservation,
   dropReservation,
   type Reservation,
-  takeReservation,
 } from "./reservations.ts";
 
-/** A reservation that ends sooner than this is not used. */
+/** Reservations that expire sooner than this are not used. */
 const EXPIRY_MARGIN_MS = 100;
-/** Pause before the planner is asked again when it named an unknown replica. */
-const LISTING_PAUSE_MS = 100;
+/** Delay before the next request to a planner that named an unknown replica. */
+const LISTING_RETRY_MS = 100;
 
-/** What a placement is made from. */
-export type EngineSource = {
+/** Options of {@link EnginePlacement}. */
+export type EnginePlacementOptions = {
   readonly context: GatewayContext;
   readonly request: GatewayRequest;
-  readonly places: Places;
+  readonly planner: Places;
   readonly engine: Engine;
-  /** Its sends; prefills count among them. */
+  /** Sends of the request, prefills included. */
   readonly attempts: Attempts;
 };
 
-/** A place by the replicas that this host knows. */
-type PlannedPlace = { readonly replica: Replica; readonly prefill?: Replica };
+/** The replicas of an assignment, as listed at this host. */
+type ReplicaChoice = { readonly replica: Replica; readonly prefill?: Replica };
 
-/** Places one request. */
+/** Places one request at a model engine. */
 export class EnginePlacement implements Placer {
-  readonly #source: EngineSource;
-  readonly #prefills: Prefills;
+  readonly #options: EnginePlacementOptions;
+  readonly #prefills: PrefillRunner;
   #cancelWait: () => void = () => undefined;
-  /** Names the place at its planner; another for each try. */
-  #placeId: string | undefined;
-  /** An export was lost: the decode replica reads the prompt itself. */
-  #whole = false;
+  /** Identifies the assignment to its planner; each attempt has a new id. */
+  #assignmentId: string | undefined;
+  /** An export was lost, so the decode replica prefills the prompt itself. */
+  #localPrefill = false;
   #ended = false;
   #reservation: Reservation | undefined;
   #export: Export | undefined;
   #permit: SendPermit | undefined;
 
-  constructor(source: EngineSource) {
-    this.#source = source;
-    const { context, request, attempts } = source;
-    this.#prefills = new Prefills(context, request, attempts);
+  constructor(options: EnginePlacementOptions) {
+    this.#options = options;
+    const { context, request, attempts } = options;
+    this.#prefills = new PrefillRunner(context, request, attempts);
   }
 
-  async place(need: PlaceNeed): Promise<Placement | PlaceRefusal> {
-    const { clock, metrics } = this.#source.context;
+  async place(
+    constraints: PlacementConstraints,
+  ): Promise<Placement | PlacementRefusal> {
+    const { clock, metrics } = this.#options.context;
     const startedAt = clock.now();
     for (;;) {
-      const found = await this.#find(need);
-      if ("error" in found) return found;
-      if (this.#ended) return this.#leaveUnused();
-      const permit = await this.#permitFor(found.replica);
-      if (this.#ended) return this.#leaveUnused();
+      const assignment = await this.#findAssignment(constraints);
+      if ("error" in assignment) return assignment;
+      if (this.#ended) return this.#releaseEnded();
+      const permit = await this.#acquirePermit(assignment.replica);
+      if (this.#ended) return this.#releaseEnded();
       if (!permit) continue;
-      const reservation = await this.#reserve(found.replica);
-      if (this.#ended) return this.#leaveUnused();
+      const reservation = await this.#reserve(assignment.replica);
+      if (this.#ended) return this.#releaseEnded();
       if (!reservation) continue;
       const waitMs = clock.now() - startedAt;
       metrics.time(Timing.memoryWait, waitMs);
-      const prefillMs = await this.#prefill(reservation, found.prefill);
-      const late = clock.now() > reservation.expiresAt - EXPIRY_MARGIN_MS;
-      if (!late) {
-        return this.#placement(reservation, permit, { waitMs, prefillMs });
+      const prefillMs = await this.#prefill(reservation, assignment.prefill);
+      const isLate = clock.now() > reservation.expiresAt - EXPIRY_MARGIN_MS;
+      if (!isLate) {
+        return this.#createPlacement(reservation, permit, {
+          waitMs,
+          prefillMs,
+        });
       }
       this.release();
     }
   }
 
-  /** The request ended meanwhile: what it was given goes back. */
-  #leaveUnused(): PlaceRefusal {
+  /** Releases all resources of a request that ended while it was being placed. */
+  #releaseEnded(): PlacementRefusal {
     this.release();
     return { error: GatewayError.noMemory };
   }
 
-  /** A place from the planner, or why there is none in time. */
-  async #find(need: PlaceNeed): Promise<PlannedPlace | PlaceRefusal> {
-    const { context } = this.#source;
-    const closed = new Set(need.excluded);
+  /** Requests assignments until one is usable or the time for placement is over. */
+  async #findAssignment(
+    constraints: PlacementConstraints,
+  ): Promise<ReplicaChoice | PlacementRefusal> {
+    const { context } = this.#options;
+    const closed = new Set(constraints.excluded);
     for (;;) {
-      const available = availableFor(context, this.#source.request, closed);
+      const available = usableReplicas(context, this.#options.request, closed);
       if (available.type === "none") {
         const { retryAfterMs } = available;
         const isLate = context.clock.now() + retryAfterMs >=
-          placeGiveUpAt(this.#source, need);
-        // A caller that has a part of its answer is better served by waiting.
-        if (!need.begun || isLate) {
-          return backoffRefusal(context, this.#source.request, retryAfterMs);
+          placementDeadline(this.#options, constraints);
+        // Waiting is better than failing a response that has started.
+        if (!constraints.mayHaveRun || isLate) {
+          return backoffRefusal(context, this.#options.request, retryAfterMs);
         }
         await sleep(context.clock, retryAfterMs);
         if (this.#ended) return { error: GatewayError.noMemory };
         continue;
       }
       const { excluded, nextMs } = available;
-      const place = await this.#ask({ ...need, excluded }, nextMs);
-      if (place === "reopened") continue;
-      if ("reason" in place) return plannerRefusal(place);
-      const replica = context.replicas.get(place.decode);
-      const prefill = place.prefill === undefined
+      const assignment = await this.#requestAssignment(
+        { ...constraints, excluded },
+        nextMs,
+      );
+      if (assignment === "reopened") continue;
+      if ("reason" in assignment) return plannerRefusal(assignment);
+      const replica = context.replicas.get(assignment.decode);
+      const prefill = assignment.prefill === undefined
         ? undefined
-        : context.replicas.get(place.prefill);
+        : context.replicas.get(assignment.prefill);
       if (replica && !context.gate.obstacle(replica)) {
         return prefill ? { replica, prefill } : { replica };
       }
-      this.#endPlace();
-      // The planner hasn't heard yet that the replica takes no more, or this
-      // host hasn't heard of the replica.
-      if (replica) closed.add(place.decode);
-      else await sleep(context.clock, LISTING_PAUSE_MS);
+      this.#endAssignment();
+      // Either the planner does not know yet that the replica is closed to this
+      // host, or the replica is not in this host's listing yet.
+      if (replica) closed.add(assignment.decode);
+      else await sleep(context.clock, LISTING_RETRY_MS);
     }
   }
 
-  /** Asks anew when a replica may be used that wasn't when it asked. */
-  async #ask(
-    need: PlaceNeed,
+  /**
+   * Requests an assignment. Cancels the request and returns "reopened" when an
+   * excluded replica becomes usable, so that the caller can request again.
+   */
+  async #requestAssignment(
+    constraints: PlacementConstraints,
     nextMs: Milliseconds,
   ): Promise<Place | NoPlace | "reopened"> {
-    const { context, places } = this.#source;
-    const id = nextPlaceId(context);
-    const tried = { id, whole: this.#whole };
-    const wait = places.find(placementRequestOf(this.#source, need, tried));
+    const { context, planner } = this.#options;
+    const id = nextAssignmentId(context);
+    const attempt = { id, whole: this.#localPrefill };
+    const wait = planner.find(
+      placementRequestOf(this.#options, constraints, attempt),
+    );
     this.#cancelWait = wait.cancel;
     let isReopened = false;
     const reopen = () => {
@@ -156,43 +171,43 @@
     const cancelTimer = Number.isFinite(nextMs)
       ? context.clock.after(nextMs, reopen)
       : () => undefined;
-    const place = await wait.result;
+    const assignment = await wait.result;
     cancelTimer();
-    if (!("reason" in place)) this.#placeId = id;
-    else if (isReopened && place.reason === "cancelled") return "reopened";
-    return place;
+    if (!("reason" in assignment)) this.#assignmentId = id;
+    else if (isReopened && assignment.reason === "cancelled") return "reopened";
+    return assignment;
   }
 
-  /** A permit; without one the planner finds another place, in its time. */
-  async #permitFor(replica: Replica): Promise<SendPermit | undefined> {
-    const { context, request } = this.#source;
+  /** Acquires a send permit; without one, the assignment is released or refused. */
+  async #acquirePermit(replica: Replica): Promise<SendPermit | undefined> {
+    const { context, request } = this.#options;
     const outcome = await context.gate.permit(replica);
     if (outcome.type === "granted") return this.#permit = outcome.permit;
     if (outcome.type === "closed") {
-      this.#endPlace();
+      this.#endAssignment();
       return undefined;
     }
     const { retryAfterMs } = outcome;
     noteLimit(context, request, { replica, retryAfterMs });
-    this.#refusedPlace(retryAfterMs);
+    this.#refuseAssignment(retryAfterMs);
     return undefined;
   }
 
   async #reserve(replica: Replica): Promise<Reservation | undefined> {
-    const { context, request, engine } = this.#source;
-    const reservation = await takeReservation(context, replica, {
+    const { context, request, engine } = this.#options;
+    const reservation = await acquireReservation(context, replica, {
       tokens: reservedTokens(
         request.facts,
         engine,
         context.tuning.outputMargin,
       ),
-      mostMs: engine.reservationMs,
+      maxMs: engine.reservationMs,
     });
     if (typeof reservation === "string") {
-      this.#dropPermit();
-      if (reservation === "silent") {
-        this.failed({ turnedAway: false, isBackoff: false });
-      } else this.#refusedPlace();
+      this.#releasePermit();
+      if (reservation === "noResponse") {
+        this.failed({ rejected: false, isBackoff: false });
+      } else this.#refuseAssignment();
       return undefined;
     }
     this.#reservation = reservation;
@@ -204,95 +219,96 @@
     prefill: Replica | undefined,
   ): Promise<Milliseconds> {
     if (!prefill) return 0;
-    const { context, places } = this.#source;
+    const { context, planner } = this.#options;
     const startedAt = context.clock.now();
     const { hall } = reservation.replica.entry;
     this.#export = await this.#prefills.run(prefill, hall);
     const spentMs: Milliseconds = context.clock.now() - startedAt;
-    if (this.#placeId === undefined) return spentMs;
+    if (this.#assignmentId === undefined) return spentMs;
     const asPlanned = this.#export?.replica === prefill;
-    const limitedMs = this.#prefills.limitedMs;
-    if (asPlanned) places.prefilled(this.#placeId, spentMs);
-    else if (limitedMs === undefined) places.prefillFailed(this.#placeId);
-    else places.prefillLimited(this.#placeId, limitedMs);
+    const retryAfterMs = this.#prefills.plannedRetryAfterMs;
+    if (asPlanned) planner.prefilled(this.#assignmentId, spentMs);
+    else if (retryAfterMs === undefined) {
+      planner.prefillFailed(this.#assignmentId);
+    } else planner.prefillLimited(this.#assignmentId, retryAfterMs);
     return spentMs;
   }
 
-  #endPlace(): void {
-    const id = this.#placeId;
-    this.#placeId = undefined;
-    if (id !== undefined) this.#source.places.ended(id);
+  #endAssignment(): void {
+    const id = this.#assignmentId;
+    this.#assignmentId = undefined;
+    if (id !== undefined) this.#options.planner.ended(id);
   }
 
-  #refusedPlace(retryAfterMs?: Milliseconds): void {
-    const id = this.#placeId;
-    this.#placeId = undefined;
-    if (id !== undefined) this.#source.places.refused(id, retryAfterMs);
+  #refuseAssignment(retryAfterMs?: Milliseconds): void {
+    const id = this.#assignmentId;
+    this.#assignmentId = undefined;
+    if (id !== undefined) this.#options.planner.refused(id, retryAfterMs);
   }
 
-  #dropPermit(): void {
+  #releasePermit(): void {
     this.#permit?.giveBack();
     this.#permit = undefined;
   }
 
-  #placement(
+  #createPlacement(
     reservation: Reservation,
     permit: SendPermit,
     times: { readonly waitMs: Milliseconds; readonly prefillMs: Milliseconds },
   ): Placement {
     const { replica, id, tokens } = reservation;
-    const made = this.#export;
-    const address = made?.replica.entry.address ?? "";
+    const exported = this.#export;
+    const address = exported?.replica.entry.address ?? "";
     return {
       replica,
       permit,
       tokens,
       waitMs: Math.round(times.waitMs),
       prefillMs: Math.round(times.prefillMs),
-      ...(made ? { export: made } : {}),
-      head: {
+      ...(exported ? { export: exported } : {}),
+      headers: {
         mode: CallMode.whole,
         replica: replica.entry.id,
-        priority: this.#source.request.priority,
+        priority: this.#options.request.priority,
         reservation: id,
-        ...(made ? { export: { address, id: made.id } } : {}),
+        ...(exported ? { export: { address, id: exported.id } } : {}),
       },
     };
   }
 
   release(): void {
-    const { context } = this.#source;
+    const { context } = this.#options;
     if (this.#reservation) dropReservation(context, this.#reservation);
-    if (this.#export) this.#prefills.drop(this.#export);
-    this.#dropPermit();
-    this.taken();
-    this.#endPlace();
+    if (this.#export) this.#prefills.dropExport(this.#export);
+    this.#releasePermit();
+    this.consumed();
+    this.#endAssignment();
   }
 
-  failed(failure: PlaceFailure): void {
-    const { places } = this.#source;
-    const { turnedAway, isBackoff } = failure;
-    const exportLost = turnedAway && !isBackoff && this.#export !== undefined;
-    const id = this.#placeId;
-    this.#placeId = undefined;
-    if (exportLost) this.#whole = true;
+  failed(failure: PlacementFailure): void {
+    const { planner } = this.#options;
+    const { rejected, isBackoff } = failure;
+    const exportLost = rejected && !isBackoff && this.#export !== undefined;
+    const id = this.#assignmentId;
+    this.#assignmentId = undefined;
+    if (exportLost) this.#localPrefill = true;
     if (id !== undefined) {
-      if (exportLost) places.exportLost(id);
-      else if (isBackoff) places.refused(id);
-      else places.failed(id);
+      if (exportLost) planner.exportLost(id);
+      else if (isBackoff) planner.refused(id);
+      else planner.failed(id);
     }
     this.release();
   }
 
-  taken(): void {
+  consumed(): void {
     this.#reservation = undefined;
     this.#export = undefined;
   }
 
-  used(): void {
-    const id = this.#placeId;
-    this.#placeId = undefined;
-    if (id !== undefined) this.#source.places.answered(id);
+  completed(): void {
+    const id = this.#assignmentId;
+    this.#assignmentId = undefined;
+    if (id !== undefined) this.#options.planner.answered(id);
   }
 
   end(): void {
--- a/src/gateway/requests/engine_request.ts
+++ b/src/gateway/requests/engine_request.ts
@@ -1,31 +1,31 @@
-/** What a planner of model engines is asked for. */
+/** Builds the requests that are sent to a planner of model engines. */
 import type { Milliseconds } from "../../util/units.ts";
 import type { GatewayContext } from "../context.ts";
 import type { PlacementRequest } from "../planning/places.ts";
 import type { Engine } from "../routing/model.ts";
 import { reservedTokens } from "./memory.ts";
-import type { PlaceNeed } from "./placement.ts";
+import type { PlacementConstraints } from "./placement.ts";
 import type { GatewayRequest } from "./request.ts";
 
-/** Time from a grant to the caller's first event: the prefill and the way. */
-const SERVICE_MS = 600;
+/** Time needed from an assignment to the caller's first event. */
+const FIRST_EVENT_MS = 600;
 /**
- * Longest time to come back where the caller doesn't say how long it waits:
- * about the life of a place, after which all memory was given anew.
+ * Longest retry delay for callers that do not state one. It is about the lifetime
+ * of an assignment, after which all memory has been reassigned.
  */
-const USUAL_RETRY_MS = 4000;
+const DEFAULT_MAX_RETRY_MS = 4000;
 
-/** A request, and how its engine runs. */
-export type EngineRequestSource = {
+/** A request and the settings of its engine. */
+export type EngineRequestOptions = {
   readonly context: GatewayContext;
   readonly request: GatewayRequest;
   readonly engine: Engine;
 };
 
-/** The placement request of one try; `whole`: the prompt is read where it runs. */
+/** Creates the placement request of one attempt; `whole`: prefill is local. */
 export function placementRequestOf(
-  { context, request, engine }: EngineRequestSource,
-  need: PlaceNeed,
+  { context, request, engine }: EngineRequestOptions,
+  constraints: PlacementConstraints,
   { id, whole }: { readonly id: string; readonly whole: boolean },
 ): PlacementRequest {
   const { receivedAt, route, service, facts, priority } = request;
@@ -36,22 +36,22 @@
     promptTokens: facts.promptTokens,
     priority,
     dueAt: receivedAt + route.objectiveMs,
-    giveUpAt: placeGiveUpAt({ context, request }, need),
+    giveUpAt: placementDeadline({ context, request }, constraints),
     key: facts.promptKey ?? "",
-    longestRetryMs: facts.longestRetryMs ?? USUAL_RETRY_MS,
-    begun: need.begun,
+    longestRetryMs: facts.longestRetryMs ?? DEFAULT_MAX_RETRY_MS,
+    begun: constraints.mayHaveRun,
     whole,
-    excluded: need.excluded,
+    excluded: constraints.excluded,
   };
 }
 
-/** A place after this time is of no use. */
-export function placeGiveUpAt(
-  { context, request }: Omit<EngineRequestSource, "engine">,
-  { begun }: PlaceNeed,
+/** The time after which an assignment is of no use. */
+export function placementDeadline(
+  { context, request }: Omit<EngineRequestOptions, "engine">,
+  { mayHaveRun }: PlacementConstraints,
 ): Milliseconds {
   const { receivedAt, route, limitAt } = request;
-  // The caller of a started answer waits anew after each event.
-  const waitsSince = begun ? context.clock.now() : receivedAt;
-  return Math.min(limitAt, waitsSince + route.silenceMs) - SERVICE_MS;
+  // The caller's timeout for a started response restarts with each event.
+  const waitsSince = mayHaveRun ? context.clock.now() : receivedAt;
+  return Math.min(limitAt, waitsSince + route.silenceMs) - FIRST_EVENT_MS;
 }
--- a/src/gateway/requests/event_edges.ts
+++ b/src/gateway/requests/event_edges.ts
@@ -1,38 +1,38 @@
-/** Finds the ends of whole events in a stream of server-sent events. */
+/** Splits a stream of server-sent events at event boundaries. */
 
 const NEWLINE = 0x0a;
 const ID_FIELD = "id:";
 
-/** Whole events cut from the front of a stream, and the last one's id. */
-export type WholeEvents = {
+/** Complete events from the front of a stream, and the id of the last one. */
+export type CompleteEvents = {
   readonly bytes: Buffer;
   readonly events: number;
   readonly lastId?: string;
 };
 
-/** Holds back what comes after the last whole event. */
-export class EventEdges {
-  #rest: Buffer = Buffer.alloc(0);
+/** Splits complete events off a stream and buffers the rest. */
+export class EventSplitter {
+  #remainder: Buffer = Buffer.alloc(0);
 
-  /** Bytes of an event that is not whole yet. */
-  get rest(): Buffer {
-    return this.#rest;
+  /** Bytes of the incomplete event at the end. */
+  get remainder(): Buffer {
+    return this.#remainder;
   }
 
-  /** Adds bytes and gives the events that are whole now. */
-  push(part: Buffer): WholeEvents {
-    const all = this.#rest.length === 0
+  /** Adds bytes and returns the events that they complete. */
+  push(part: Buffer): CompleteEvents {
+    const all = this.#remainder.length === 0
       ? part
-      : Buffer.concat([this.#rest, part]);
-    const end = lastEdge(all);
-    this.#rest = all.subarray(end);
+      : Buffer.concat([this.#remainder, part]);
+    const end = lastBoundary(all);
+    this.#remainder = all.subarray(end);
     const bytes = all.subarray(0, end);
-    return { bytes, ...idsIn(bytes) };
+    return { bytes, ...countEventIds(bytes) };
   }
 }
 
-/** The position after the last empty line; 0 when there is none. */
-function lastEdge(bytes: Buffer): number {
+/** Returns the offset after the last empty line, or 0 if there is none. */
+function lastBoundary(bytes: Buffer): number {
   for (let at = bytes.length - 1; at > 0; at--) {
     if (bytes[at] !== NEWLINE) continue;
     const before = bytes[at - 1] === 0x0d ? at - 2 : at - 1;
@@ -41,7 +41,7 @@
   return 0;
 }
 
-function idsIn(bytes: Buffer): { events: number; lastId?: string } {
+function countEventIds(bytes: Buffer): { events: number; lastId?: string } {
   let events = 0;
   let lastId: string | undefined;
   for (const line of bytes.toString("latin1").split("\n")) {
--- a/src/gateway/requests/exchange.ts
+++ b/src/gateway/requests/exchange.ts
@@ -1,7 +1,7 @@
 /**
- * One request from its arrival to its end. One owner, one attempt at a time:
- * a request is sent on only while the earlier send is known not to have run,
- * or where the route says that it may run again.
+ * Serves one request from its arrival to its end, one send at a time. A request is
+ * sent again only if the previous send is known not to have run, or if the route
+ * allows it to run more than once.
  */
 import type { Milliseconds } from "../../util/units.ts";
 import { GatewayError } from "../answers.ts";
@@ -11,74 +11,74 @@
 import type { Places } from "../planning/places.ts";
 import { RouteKind } from "../routing/model.ts";
 import { Attempts } from "./attempts.ts";
-import { closedRefusal } from "./availability.ts";
+import { refusalWhenAllBackOff } from "./availability.ts";
 import { createPlacer } from "./create_placer.ts";
-import { Ending, type GiveUp, refusalOf } from "./ending.ts";
+import { type Failure, failureOf, ReplyWriter } from "./ending.ts";
 import type { Placement, Placer } from "./placement.ts";
-import { type EventPosition, relayAnswer, type Relayed } from "./relay.ts";
+import { type EventPosition, relayAnswer, type RelayOutcome } from "./relay.ts";
 import type { GatewayRequest, Reply } from "./request.ts";
 import { RequestJournal } from "./request_journal.ts";
 import type { Obstacle } from "../replicas/replica_gate.ts";
 import type { Answer } from "../upstreams/call.ts";
 import {
   hasOtherReplica,
-  noteBreak,
+  noteInterruption,
   type Sending,
   sendRequest,
   type SendResult,
 } from "./sender.ts";
 
-/** What an exchange is made from. */
-export type ExchangeSource = {
+/** Options of {@link Exchange}. */
+export type ExchangeOptions = {
   readonly context: GatewayContext;
   readonly places: Places;
   readonly request: GatewayRequest;
   readonly reply: Reply;
-  /** Told whether the request may have run at a replica. */
+  /** Called at the end with whether the request may have run at a replica. */
   readonly onEnd: (mayHaveRun: boolean) => void;
 };
 
-/** One request under way. */
+/** Serves one request. */
 export class Exchange {
   readonly #context: GatewayContext;
   readonly #request: GatewayRequest;
   readonly #reply: Reply;
-  readonly #ending: Ending;
+  readonly #writer: ReplyWriter;
   readonly #placer: Placer;
   readonly #onEnd: (mayHaveRun: boolean) => void;
   readonly #attempts: Attempts;
   readonly #journal: RequestJournal;
   readonly #position: EventPosition = {};
-  readonly #cancelLimit: () => void;
+  readonly #cancelTimeout: () => void;
   #sending: Sending | undefined;
-  /** The budget has already given the retry that follows. */
-  #retryTaken = false;
+  /** The next retry has already been charged to the retry budget. */
+  #retryAcquired = false;
   #ended = false;
 
-  constructor(source: ExchangeSource) {
-    const { context, request, places } = source;
+  constructor(options: ExchangeOptions) {
+    const { context, request, places: planner } = options;
     this.#context = context;
     this.#request = request;
-    this.#reply = source.reply;
-    this.#onEnd = source.onEnd;
+    this.#reply = options.reply;
+    this.#onEnd = options.onEnd;
     const attempts = new Attempts(context, request);
     this.#attempts = attempts;
     const journal = new RequestJournal(context, request);
     this.#journal = journal;
-    this.#ending = new Ending({ reply: source.reply, attempts, journal });
-    this.#placer = createPlacer({ context, request, places, attempts });
-    const left = request.limitAt - context.clock.now();
-    this.#cancelLimit = context.clock.after(left, () => this.#atLimit());
+    this.#writer = new ReplyWriter({ reply: options.reply, attempts, journal });
+    this.#placer = createPlacer({ context, request, planner, attempts });
+    const leftMs = request.limitAt - context.clock.now();
+    this.#cancelTimeout = context.clock.after(leftMs, () => this.#onTimeout());
   }
 
-  /** Serves the request to its end. */
+  /** Serves the request; resolves when it has ended. */
   async run(): Promise<void> {
     const { budget, clock } = this.#context;
     budget.noteRequest(this.#request.service, clock.now());
-    while (!this.#ended) await this.#round();
+    while (!this.#ended) await this.#attempt();
   }
 
-  /** The caller went away: whatever runs for it ends. */
+  /** Ends the request and aborts its calls when the caller disconnects. */
   callerGone(): void {
     if (this.#ended) return;
     this.#context.metrics.count("callers_gone");
@@ -86,23 +86,23 @@
     this.#end();
   }
 
-  async #round(): Promise<void> {
+  async #attempt(): Promise<void> {
     const { crashes } = this.#context;
     await crashes.settled(this.#request.fingerprint, this.#attempts.sends);
-    if (this.#ended || this.#holdBack()) return;
+    if (this.#ended || this.#rejectQuarantined()) return;
     const placed = await this.#placer.place({
       excluded: this.#attempts.excluded,
-      begun: this.#attempts.begun,
+      mayHaveRun: this.#attempts.mayHaveRunAnywhere,
     });
     if (this.#ended) return;
     if ("error" in placed) {
-      return this.#giveUp(placed.error, refusalOf(placed));
+      return this.#fail(placed.error, failureOf(placed));
     }
-    if (this.#holdBack()) return;
-    const obstacle = this.#obstacle();
+    if (this.#rejectQuarantined()) return;
+    const obstacle = this.#sendObstacle();
     if (obstacle !== undefined) {
       this.#placer.release();
-      return this.#giveUp(obstacle, {});
+      return this.#fail(obstacle, {});
     }
     const result = await this.#send(placed);
     if (this.#ended) {
@@ -111,53 +111,53 @@
     }
     switch (result.type) {
       case "answer":
-        return await this.#takeAnswer(placed, result.answer);
+        return await this.#handleAnswer(placed, result.answer);
       case "closed":
-        return this.#takeClosed(placed, result.obstacle);
+        return this.#handleClosed(placed, result.obstacle);
       default:
-        return this.#takeFailure(placed, result);
+        return this.#handleFailure(placed, result);
     }
   }
 
-  /** What was true when the place was given no longer is: nothing was sent. */
-  #takeClosed({ replica }: Placement, { type }: Obstacle): void {
-    this.#attempts.didNotArrive();
+  /** Handles a replica that closed to this host after the placement. */
+  #handleClosed({ replica }: Placement, { type }: Obstacle): void {
+    this.#attempts.noteNotArrived();
     this.#placer.release();
     const fields = { replica: replica.entry.incarnation, reason: type };
     this.#journal.note("passedOver", fields);
   }
 
   /**
-   * Ends a request that is known, here or at another host, to crash its replicas.
-   * Asked before each send, so that neither a retry nor a stream that goes on nor
-   * one that has waited for its place crashes one more.
+   * Ends a request that is quarantined because it crashes replicas. Called before
+   * placement and again before the send, since the quarantine may begin while the
+   * request waits for an assignment.
    */
-  #holdBack(): boolean {
+  #rejectQuarantined(): boolean {
     const { crashes, clock } = this.#context;
     const quarantine = crashes.quarantineOf(this.#request.fingerprint);
     if (!quarantine) return false;
-    this.#journal.heldBack(quarantine);
+    this.#journal.quarantined(quarantine);
     const leftMs = quarantine.until - clock.now();
-    const seconds = Math.max(1, Math.ceil(leftMs / 1000));
-    this.#giveUp(GatewayError.crashesReplicas, { seconds });
+    const retryAfterSeconds = Math.max(1, Math.ceil(leftMs / 1000));
+    this.#fail(GatewayError.crashesReplicas, { retryAfterSeconds });
     return true;
   }
 
-  /** Why a request that has a place may not be sent there. */
-  #obstacle(): GatewayError | undefined {
-    if (!this.#attempts.inTime) return GatewayError.outOfTimeNotRun;
+  /** Why a placed request must not be sent, if there is a reason. */
+  #sendObstacle(): GatewayError | undefined {
+    if (!this.#attempts.hasTimeLeft) return GatewayError.outOfTimeNotRun;
     const { routes } = this.#context;
     if (!isStillHeld(routes, this.#request)) return GatewayError.unknownKey;
-    const isAfforded = this.#attempts.affordSend("A prefill was turned away");
-    return isAfforded ? undefined : GatewayError.refusedByReplicas;
+    const isCharged = this.#attempts.chargeSend("A prefill was turned away");
+    return isCharged ? undefined : GatewayError.refusedByReplicas;
   }
 
   async #send(placed: Placement): Promise<SendResult> {
     const { clock, tuning } = this.#context;
     const { route, limitAt } = this.#request;
-    this.#attempts.begin();
+    this.#attempts.noteSent();
     this.#journal.placed(placed, this.#attempts.sends);
-    const patient = !this.#attempts.repeatable || this.#attempts.isLast ||
+    const mayWaitLonger = !this.#attempts.repeatable || this.#attempts.isLast ||
       !hasOtherReplica(this.#context, this.#request, {
         entry: placed.replica.entry,
         excluded: this.#attempts.excluded,
@@ -165,76 +165,76 @@
     const timeoutMs = route.objectiveMs * tuning.retryAfterObjectives;
     const lastEventId = this.#position.lastId;
     this.#sending = sendRequest(this.#context, this.#request, placed.replica, {
-      head: {
-        ...placed.head,
+      headers: {
+        ...placed.headers,
         patienceMs: limitAt - clock.now(),
         ...(lastEventId === undefined ? {} : { lastEventId }),
       },
       permit: placed.permit,
-      ...(patient ? {} : { timeoutMs }),
+      ...(mayWaitLonger ? {} : { timeoutMs }),
     });
     return await this.#sending.result;
   }
 
-  #takeFailure(
+  #handleFailure(
     placed: Placement,
     result: Extract<SendResult, { type: "notRun" | "unknown" }>,
   ): void {
     const notRun = result.type === "notRun";
-    const turnedAway = notRun && result.turnedAway;
+    const rejected = notRun && result.rejected;
     const isBackoff = notRun && result.isBackoff;
-    this.#placer.failed({ turnedAway, isBackoff });
+    this.#placer.failed({ rejected, isBackoff });
     const arrived = !notRun || result.arrived;
-    if (!arrived) this.#attempts.didNotArrive();
-    else if (notRun) this.#attempts.didNotRun();
-    // What was lost with an export may well run at the same replica.
-    const exportLost = turnedAway && !isBackoff && placed.export !== undefined;
-    // The gate keeps it out for as long as it asked for.
-    const mayTakeIt = exportLost || isBackoff;
-    if (!mayTakeIt) this.#attempts.exclude(placed.replica.entry.incarnation);
+    if (!arrived) this.#attempts.noteNotArrived();
+    else if (notRun) this.#attempts.noteNotRun();
+    // If only the export was lost, the same replica can still run the request.
+    const exportLost = rejected && !isBackoff && placed.export !== undefined;
+    // A replica that backs off is kept out by the gate for that time only.
+    const mayAccept = exportLost || isBackoff;
+    if (!mayAccept) this.#attempts.exclude(placed.replica.entry.incarnation);
     const allowed = notRun || this.#attempts.repeatable;
-    if (allowed && this.#attempts.takeRetry(result.reason)) return;
+    if (allowed && this.#attempts.acquireRetry(result.reason)) return;
     const { reason } = result;
-    if (!notRun) return this.#giveUp(GatewayError.outcomeUnknown, { reason });
-    // Where all replicas asked for a pause it makes no sense to come sooner.
-    const refusal = closedRefusal(this.#context, this.#request);
-    const { seconds } = refusal ? refusalOf(refusal) : {};
-    this.#giveUp(GatewayError.refusedByReplicas, { reason, seconds });
+    if (!notRun) return this.#fail(GatewayError.outcomeUnknown, { reason });
+    // If all replicas back off, the caller should not retry before one reopens.
+    const refusal = refusalWhenAllBackOff(this.#context, this.#request);
+    const { retryAfterSeconds } = refusal ? failureOf(refusal) : {};
+    this.#fail(GatewayError.refusedByReplicas, { reason, retryAfterSeconds });
   }
 
-  async #takeAnswer(placed: Placement, answer: Answer): Promise<void> {
-    this.#placer.taken();
+  async #handleAnswer(placed: Placement, answer: Answer): Promise<void> {
+    this.#placer.consumed();
     const status = answer.message.statusCode ?? 0;
-    const { headSent } = this.#ending;
-    const failed = status >= 500 || (headSent && status !== 200);
+    const { headersSent } = this.#writer;
+    const failed = status >= 500 || (headersSent && status !== 200);
     if (failed && this.#retryAnswer(placed, answer)) return;
-    if (failed && headSent) {
+    if (failed && headersSent) {
       answer.message.destroy();
       const reason = `Status ${status}`;
-      return this.#giveUp(GatewayError.outcomeUnknown, { reason });
+      return this.#fail(GatewayError.outcomeUnknown, { reason });
     }
     const startedAt = this.#context.clock.now();
-    const relayed = await this.#relay(placed, answer, startedAt);
-    if (relayed === "whole") this.#placer.used();
-    else this.#noteCut(placed);
+    const outcome = await this.#relay(placed, answer, startedAt);
+    if (outcome === "complete") this.#placer.completed();
+    else this.#noteInterrupted(placed);
     if (this.#ended) return;
-    if (relayed === "whole") return this.#complete(status);
-    this.#takeCut(placed);
+    if (outcome === "complete") return this.#complete(status);
+    this.#handleInterrupted(placed);
   }
 
-  #noteCut(placed: Placement): void {
-    this.#placer.failed({ turnedAway: false, isBackoff: false });
-    const isByReplica = !this.#ended && !this.#retryTaken;
-    noteBreak(this.#context, this.#request, placed.replica, isByReplica);
+  #noteInterrupted(placed: Placement): void {
+    this.#placer.failed({ rejected: false, isBackoff: false });
+    const isByReplica = !this.#ended && !this.#retryAcquired;
+    noteInterruption(this.#context, this.#request, placed.replica, isByReplica);
   }
 
-  /** A replica's own failure may be tried elsewhere before it is told. */
+  /** Retries a failed response at another replica instead of forwarding it. */
   #retryAnswer(placed: Placement, answer: Answer): boolean {
     if (!this.#attempts.repeatable) return false;
     const reason = `Status ${answer.message.statusCode}`;
-    if (!this.#attempts.takeRetry(reason)) return false;
+    if (!this.#attempts.acquireRetry(reason)) return false;
     answer.message.resume();
-    this.#placer.used();
+    this.#placer.completed();
     this.#attempts.exclude(placed.replica.entry.incarnation);
     return true;
   }
@@ -243,15 +243,15 @@
     placed: Placement,
     answer: Answer,
     since: Milliseconds,
-  ): Promise<Relayed> {
+  ): Promise<RelayOutcome> {
     const { clock, metrics, tuning } = this.#context;
     const { route, receivedAt } = this.#request;
     const { message } = answer;
     const status = message.statusCode ?? 502;
     return relayAnswer(answer, this.#reply, {
       route,
-      head: () => this.#ending.head(status, message.rawHeaders),
-      firstByte: () => {
+      writeHead: () => this.#writer.writeHead(status, message.rawHeaders),
+      onFirstByte: () => {
         const at = route.kind === RouteKind.streaming ? since : clock.now();
         metrics.time(Timing.firstByte, at - receivedAt);
       },
@@ -259,34 +259,34 @@
         position: this.#position,
         clock,
         stallMs: tuning.stallMs,
-        moveOn: () => this.#moveOn(placed),
+        abandonStalled: () => this.#abandonStalled(placed),
       },
     });
   }
 
-  /** A stalled stream is left only when its replica fails other calls too. */
-  #moveOn(placed: Placement): boolean {
+  /** Abandons a stalled stream only if its replica also fails other calls. */
+  #abandonStalled(placed: Placement): boolean {
     if (!placed.replica.paused(this.#context.clock.now())) return false;
-    this.#retryTaken = this.#attempts.takeRetry("The stream stalled");
-    return this.#retryTaken;
+    this.#retryAcquired = this.#attempts.acquireRetry("The stream stalled");
+    return this.#retryAcquired;
   }
 
-  #takeCut(placed: Placement): void {
+  #handleInterrupted(placed: Placement): void {
     const now = this.#context.clock.now();
     placed.replica.noteFailure(now, false);
-    this.#attempts.noteCut(placed.replica.entry);
-    const taken = this.#retryTaken ||
+    this.#attempts.noteInterrupted(placed.replica.entry);
+    const hasRetry = this.#retryAcquired ||
       (this.#attempts.repeatable &&
-        this.#attempts.takeRetry("The answer was cut off"));
-    this.#retryTaken = false;
-    if (taken) {
-      if (this.#ending.headSent) {
+        this.#attempts.acquireRetry("The answer was cut off"));
+    this.#retryAcquired = false;
+    if (hasRetry) {
+      if (this.#writer.headersSent) {
         this.#journal.note("resumed", { ...this.#position });
       }
       return;
     }
     const reason = "The answer was cut off";
-    this.#giveUp(GatewayError.outcomeUnknown, { reason });
+    this.#fail(GatewayError.outcomeUnknown, { reason });
   }
 
   #complete(status: number): void {
@@ -296,22 +296,22 @@
     this.#end();
   }
 
-  #giveUp(error: GatewayError, more: GiveUp): void {
+  #fail(error: GatewayError, details: Failure): void {
     if (this.#ended) return;
-    this.#ending.giveUp(error, more);
+    this.#writer.fail(error, details);
     this.#end();
   }
 
-  #atLimit(): void {
+  #onTimeout(): void {
     const error = this.#attempts.mayHaveRun
       ? GatewayError.outOfTime
       : GatewayError.outOfTimeNotRun;
-    this.#giveUp(error, { reason: "The request's time is over" });
+    this.#fail(error, { reason: "The request's time is over" });
   }
 
   #end(): void {
     this.#ended = true;
-    this.#cancelLimit();
+    this.#cancelTimeout();
     this.#sending?.abort("The request ended");
     this.#placer.end();
     this.#onEnd(this.#attempts.mayHaveRun);
--- a/src/gateway/requests/memory.ts
+++ b/src/gateway/requests/memory.ts
@@ -1,19 +1,19 @@
-/** How much memory a request is given at a decode replica. */
+/** Computes how much memory to reserve for a request at a decode replica. */
 import type { RequestFacts } from "../port.ts";
 import type { Engine } from "../routing/model.ts";
 
-/** Share of the output limit where the caller gives no guess. */
-const LIMIT_SHARE = 0.6;
+/** Share of the output limit to reserve if the caller sends no output hint. */
+const DEFAULT_OUTPUT_SHARE = 0.6;
 
-/** Tokens to reserve: the prompt and the output as far as it is foreseen. */
+/** Tokens to reserve for the prompt and the expected output. */
 export function reservedTokens(
   facts: RequestFacts,
   engine: Engine,
   outputMargin: number,
 ): number {
   const { promptTokens, outputLimit, outputHint } = facts;
-  const guess = outputHint ?? outputLimit * LIMIT_SHARE;
-  const reserved = Math.min(outputLimit, guess * outputMargin);
+  const expected = outputHint ?? outputLimit * DEFAULT_OUTPUT_SHARE;
+  const reserved = Math.min(outputLimit, expected * outputMargin);
   const tokens = Math.ceil(promptTokens + reserved);
   return Math.max(1, Math.min(tokens, engine.cacheTokens));
 }
--- a/src/gateway/requests/place_ids.ts
+++ b/src/gateway/requests/place_ids.ts
@@ -1,10 +1,10 @@
-/** Names of places. */
+/** Generates ids of assignments. */
 import type { GatewayContext } from "../context.ts";
 
-let placeCount = 0;
+let assignmentCount = 0;
 
-/** A name that no other host and no other run of this one gives. */
-export function nextPlaceId(context: GatewayContext): string {
-  placeCount += 1;
-  return `${context.self.id}/${context.self.run}/${placeCount}`;
+/** Returns an id that is unique across hosts and across runs of this host. */
+export function nextAssignmentId(context: GatewayContext): string {
+  assignmentCount += 1;
+  return `${context.self.id}/${context.self.run}/${assignmentCount}`;
 }
--- a/src/gateway/requests/placement.ts
+++ b/src/gateway/requests/placement.ts
@@ -1,4 +1,4 @@
-/** Where one send of a request goes. */
+/** Types for choosing the replica that a request is sent to. */
 import type { Milliseconds } from "../../util/units.ts";
 import type { GatewayError } from "../answers.ts";
 import type { SendPermit } from "../limits/replica_limits.ts";
@@ -7,56 +7,59 @@
 import type { Replica } from "../replicas/replica.ts";
 import type { Export } from "./prefill.ts";
 
-/** A place for one send. */
+/** A replica for one send, with the resources acquired there. */
 export type Placement = {
   readonly replica: Replica;
-  /** The replica takes one more request. */
+  /** Permits one send to the replica. */
   readonly permit: SendPermit;
-  /** Memory that it takes there, in tokens; 0 at a plain service. */
+  /** Memory reserved at the replica, in tokens; 0 at a plain service. */
   readonly tokens: number;
   readonly export?: Export;
-  /** Time that was waited for memory, and that the prefill took. */
+  /** Time spent waiting for memory. */
   readonly waitMs?: Milliseconds;
+  /** Time that the prefill took. */
   readonly prefillMs?: Milliseconds;
-  readonly head: CallHead;
+  readonly headers: CallHead;
 };
 
-/** Why there is no place, and when to come back where that is known. */
-export type PlaceRefusal = {
+/** Why a request could not be placed, and when to retry if that is known. */
+export type PlacementRefusal = {
   readonly error: GatewayError;
   readonly retryAfterMs?: Milliseconds;
-  /** What it was decided on, for the log. */
+  /** What the decision was based on, for the log. */
   readonly basis?: EventFields;
 };
 
-/** Why the replica of a place did not serve. */
-export type PlaceFailure = {
-  /** It answered that it did not run the request. */
-  readonly turnedAway: boolean;
-  /** It asks this host for a pause: what else it lacks isn't known. */
+/** Why the replica did not serve the request. */
+export type PlacementFailure = {
+  /** The replica responded that it did not run the request. */
+  readonly rejected: boolean;
+  /** The replica asked this host to back off, which hides other causes. */
   readonly isBackoff: boolean;
 };
 
-/** What is known of a request's earlier sends when it wants a place. */
-export type PlaceNeed = {
-  /** Replicas that are not to be tried again, by incarnation. */
+/** How earlier sends of a request restrict its placement. */
+export type PlacementConstraints = {
+  /** Incarnations that must not be tried again. */
   readonly excluded: ReadonlySet<string>;
-  /** An earlier send may have run, or the caller has a part of the answer. */
-  readonly begun: boolean;
+  /** An earlier send may have run, or the caller has part of the response. */
+  readonly mayHaveRun: boolean;
 };
 
-/** Finds places for one request. */
+/** Places one request, once for each send. */
 export type Placer = {
-  /** A place at a replica that is not excluded, or why there is none. */
-  place(need: PlaceNeed): Promise<Placement | PlaceRefusal>;
-  /** The last place was not used: what is held there is let go. */
+  /** Places the request at a replica that is not excluded. */
+  place(
+    constraints: PlacementConstraints,
+  ): Promise<Placement | PlacementRefusal>;
+  /** Releases the last placement, which was not used. */
   release(): void;
-  /** The replica of the last place did not serve. */
-  failed(failure: PlaceFailure): void;
-  /** The replica of the last place took what was held for it. */
-  taken(): void;
-  /** The last place is free again. */
-  used(): void;
-  /** The request ended: all waits end, all that is held is let go. */
+  /** Reports that the replica of the last placement did not serve the request. */
+  failed(failure: PlacementFailure): void;
+  /** Records that the replica consumed the reservation and the export. */
+  consumed(): void;
+  /** Reports that the replica has finished the request. */
+  completed(): void;
+  /** Cancels all waits and releases all resources when the request ends. */
   end(): void;
 };
--- a/src/gateway/requests/plain_placement.ts
+++ b/src/gateway/requests/plain_placement.ts
@@ -1,7 +1,7 @@
 /**
- * Places for requests of plain services. Their planner knows what the whole
- * fleet has at each replica; when it does not answer in time, this host
- * chooses by its own calls.
+ * Places requests at plain services. The planner knows how many requests the
+ * fleet has at each replica. If it does not respond in time, this host chooses a
+ * replica by the number of its own calls.
  */
 import type { Milliseconds } from "../../util/units.ts";
 import { GatewayError } from "../answers.ts";
@@ -11,65 +11,66 @@
 import { CallMode } from "../port.ts";
 import { chooseReplica } from "../replicas/choice.ts";
 import type { Replica } from "../replicas/replica.ts";
-import { availableFor } from "./availability.ts";
+import { usableReplicas } from "./availability.ts";
 import {
   backoffRefusal,
-  comeBackMs,
   noteLimit,
   plannerRefusal,
+  spreadRetryAfterMs,
 } from "./refusals.ts";
-import { nextPlaceId } from "./place_ids.ts";
+import { nextAssignmentId } from "./place_ids.ts";
 import type {
-  PlaceFailure,
   Placement,
-  PlaceNeed,
+  PlacementConstraints,
+  PlacementFailure,
+  PlacementRefusal,
   Placer,
-  PlaceRefusal,
 } from "./placement.ts";
 import type { GatewayRequest } from "./request.ts";
 
-/** Longest wait for a planner, far below any objective. */
-const PLANNER_MS = 80;
-/** Longest time to come back where the caller doesn't say how long it waits. */
-const USUAL_RETRY_MS = 4000;
+const PLANNER_TIMEOUT_MS = 80;
+/** Longest retry delay for callers that do not state one. */
+const DEFAULT_MAX_RETRY_MS = 4000;
 
-/** Places one request. */
+/** Places one request at a plain service. */
 export class PlainPlacement implements Placer {
   readonly #context: GatewayContext;
   readonly #request: GatewayRequest;
-  readonly #places: Places;
+  readonly #planner: Places;
   #cancelWait: () => void = () => undefined;
-  /** Names the place at its planner, while there is one. */
-  #placeId: string | undefined;
+  /** Identifies the current assignment to its planner. */
+  #assignmentId: string | undefined;
   #permit: SendPermit | undefined;
   #ended = false;
 
   constructor(
     context: GatewayContext,
     request: GatewayRequest,
-    places: Places,
+    planner: Places,
   ) {
     this.#context = context;
     this.#request = request;
-    this.#places = places;
+    this.#planner = planner;
   }
 
-  async place(need: PlaceNeed): Promise<Placement | PlaceRefusal> {
+  async place(
+    constraints: PlacementConstraints,
+  ): Promise<Placement | PlacementRefusal> {
     const { clock, gate } = this.#context;
-    const askedAt = clock.now();
-    const tried = new Set(need.excluded);
+    const requestedAt = clock.now();
+    const tried = new Set(constraints.excluded);
     let soonestMs = Infinity;
     for (;;) {
-      const available = availableFor(this.#context, this.#request, tried);
+      const available = usableReplicas(this.#context, this.#request, tried);
       if (available.type === "none") {
         const { retryAfterMs } = available;
         return backoffRefusal(this.#context, this.#request, retryAfterMs);
       }
       const { excluded } = available;
-      const replica = await this.#choose({ ...need, excluded });
+      const replica = await this.#chooseReplica({ ...constraints, excluded });
       if (this.#ended) return { error: GatewayError.noReplica };
       if (!replica && Number.isFinite(soonestMs)) {
-        const retryAfterMs = comeBackMs(
+        const retryAfterMs = spreadRetryAfterMs(
           this.#context,
           this.#request,
           soonestMs,
@@ -87,7 +88,7 @@
         const { permit } = outcome;
         this.#permit = permit;
         if (!this.#ended) {
-          return placement(replica, permit, clock.now() - askedAt);
+          return placement(replica, permit, clock.now() - requestedAt);
         }
         this.release();
         return { error: GatewayError.noReplica };
@@ -99,57 +100,61 @@
     }
   }
 
-  /** The planner's replica, else one that this host chooses. */
-  async #choose(need: PlaceNeed): Promise<Replica | PlaceRefusal | undefined> {
+  /** The replica assigned by the planner, or else one chosen by this host. */
+  async #chooseReplica(
+    constraints: PlacementConstraints,
+  ): Promise<Replica | PlacementRefusal | undefined> {
     const { clock, replicas, gate } = this.#context;
-    const place = await this.#ask(need, clock.now());
-    if ("reason" in place && place.reason === "busy") {
-      return plannerRefusal(place);
+    const assignment = await this.#requestAssignment(constraints, clock.now());
+    if ("reason" in assignment && assignment.reason === "busy") {
+      return plannerRefusal(assignment);
     }
-    const planned = "decode" in place ? replicas.get(place.decode) : undefined;
+    const planned = "decode" in assignment
+      ? replicas.get(assignment.decode)
+      : undefined;
     if (planned && !gate.obstacle(planned)) return planned;
     this.release();
-    return this.#chooseAlone(need.excluded);
+    return this.#chooseLocally(constraints.excluded);
   }
 
-  /** Its limit has no room: the request goes elsewhere, and others should. */
+  /** Reports a replica at its rate limit to the planner, which then avoids it. */
   #noteLimit(replica: Replica, retryAfterMs: Milliseconds): void {
     noteLimit(this.#context, this.#request, { replica, retryAfterMs });
-    const id = this.#takeId();
-    if (id !== undefined) this.#places.refused(id, retryAfterMs);
+    const id = this.#takeAssignmentId();
+    if (id !== undefined) this.#planner.refused(id, retryAfterMs);
   }
 
-  async #ask(
-    { excluded, begun }: PlaceNeed,
-    askedAt: Milliseconds,
+  async #requestAssignment(
+    { excluded, mayHaveRun }: PlacementConstraints,
+    requestedAt: Milliseconds,
   ): Promise<Place | NoPlace> {
     const { clock } = this.#context;
     const { service, receivedAt, route, limitAt, priority, facts } =
       this.#request;
-    const id = nextPlaceId(this.#context);
-    const wait = this.#places.find({
+    const id = nextAssignmentId(this.#context);
+    const wait = this.#planner.find({
       id,
       service,
       tokens: 1,
       promptTokens: 0,
       priority,
       dueAt: receivedAt + route.objectiveMs,
-      giveUpAt: Math.min(limitAt, askedAt + PLANNER_MS),
+      giveUpAt: Math.min(limitAt, requestedAt + PLANNER_TIMEOUT_MS),
       key: "",
-      longestRetryMs: facts.longestRetryMs ?? USUAL_RETRY_MS,
-      begun,
+      longestRetryMs: facts.longestRetryMs ?? DEFAULT_MAX_RETRY_MS,
+      begun: mayHaveRun,
       whole: true,
       excluded,
     });
     this.#cancelWait = wait.cancel;
-    const cancelTimer = clock.after(PLANNER_MS, wait.cancel);
-    const place = await wait.result;
+    const cancelTimer = clock.after(PLANNER_TIMEOUT_MS, wait.cancel);
+    const assignment = await wait.result;
     cancelTimer();
-    if ("decode" in place) this.#placeId = id;
-    return place;
+    if ("decode" in assignment) this.#assignmentId = id;
+    return assignment;
   }
 
-  #chooseAlone(excluded: ReadonlySet<string>): Replica | undefined {
+  #chooseLocally(excluded: ReadonlySet<string>): Replica | undefined {
     const { replicas, clock, random, self, tuning } = this.#context;
     const open = replicas.openOf(this.#request.service);
     const query = {
@@ -162,29 +167,29 @@
     return chooseReplica(
       open,
       query,
-      (one) => one.calls / Math.max(1, one.entry.slots),
+      (candidate) => candidate.calls / Math.max(1, candidate.entry.slots),
     );
   }
 
   release(): void {
     this.#permit?.giveBack();
     this.#permit = undefined;
-    const id = this.#takeId();
-    if (id !== undefined) this.#places.ended(id);
+    const id = this.#takeAssignmentId();
+    if (id !== undefined) this.#planner.ended(id);
   }
 
-  failed({ turnedAway }: PlaceFailure): void {
-    const id = this.#takeId();
+  failed({ rejected }: PlacementFailure): void {
+    const id = this.#takeAssignmentId();
     if (id === undefined) return;
-    if (turnedAway) this.#places.refused(id);
-    else this.#places.failed(id);
+    if (rejected) this.#planner.refused(id);
+    else this.#planner.failed(id);
   }
 
-  taken(): void {}
+  consumed(): void {}
 
-  used(): void {
-    const id = this.#takeId();
-    if (id !== undefined) this.#places.answered(id);
+  completed(): void {
+    const id = this.#takeAssignmentId();
+    if (id !== undefined) this.#planner.answered(id);
   }
 
   end(): void {
@@ -193,9 +198,9 @@
     this.release();
   }
 
-  #takeId(): string | undefined {
-    const id = this.#placeId;
-    this.#placeId = undefined;
+  #takeAssignmentId(): string | undefined {
+    const id = this.#assignmentId;
+    this.#assignmentId = undefined;
     return id;
   }
 }
@@ -205,6 +210,6 @@
   permit: SendPermit,
   waitMs: Milliseconds,
 ): Placement {
-  const head = { mode: CallMode.whole, replica: replica.entry.id };
-  return { replica, permit, tokens: 0, waitMs: Math.round(waitMs), head };
+  const headers = { mode: CallMode.whole, replica: replica.entry.id };
+  return { replica, permit, tokens: 0, waitMs: Math.round(waitMs), headers };
 }
--- a/src/gateway/requests/prefill.ts
+++ b/src/gateway/requests/prefill.ts
@@ -1,4 +1,4 @@
-/** Reads a request's prompt at a prefill replica. */
+/** Runs the prefill of a request at a prefill replica. */
 import type { Milliseconds } from "../../util/units.ts";
 import type { GatewayContext } from "../context.ts";
 import type { SendPermit } from "../limits/replica_limits.ts";
@@ -13,32 +13,32 @@
 import type { GatewayRequest } from "./request.ts";
 import type { Attempts } from "./attempts.ts";
 import {
-  noteBreak,
+  noteInterruption,
   type Sending,
   sendRequest,
   type SendResult,
 } from "./sender.ts";
 
-/** Longest body of a finished prefill's answer. */
-const BODY_LIMIT = 64 * 1024;
-/** Prefill replicas that are tried for one request. */
-const MOST_TRIES = 2;
+/** Maximum size of the response body of a prefill. */
+const MAX_BODY_BYTES = 64 * 1024;
+/** Maximum number of prefill replicas tried for one request. */
+const MAX_TRIES = 2;
 
-/** A finished prefill, kept for its decode. */
+/** The KV cache of a finished prefill, retained for the decode replica. */
 export type Export = {
   readonly replica: Replica;
   readonly id: string;
 };
 
-/** The prefills of one request. */
-export class Prefills {
+/** Runs the prefills of one request. */
+export class PrefillRunner {
   readonly #context: GatewayContext;
   readonly #request: GatewayRequest;
   readonly #attempts: Attempts;
   readonly #excluded = new Set<string>();
   #sending: Sending | undefined;
-  #planned: Replica | undefined;
-  #limitedMs: Milliseconds | undefined;
+  #plannedReplica: Replica | undefined;
+  #plannedRetryAfterMs: Milliseconds | undefined;
   #ended = false;
 
   constructor(
@@ -51,56 +51,56 @@
     this.#attempts = attempts;
   }
 
-  /** Ends the call under way; a prefill that finishes late is let go. */
+  /** Aborts the current call; the export of a late prefill is dropped. */
   end(): void {
     this.#ended = true;
     this.#sending?.abort("The request ended");
   }
 
   /**
-   * The planned replica was not asked, through no fault of its own, and may be
-   * after this time; absent: it was.
+   * Time after which the planned replica may be used, if it was skipped because
+   * of a limit or a backoff; undefined if it was used.
    */
-  get limitedMs(): Milliseconds | undefined {
-    return this.#limitedMs;
+  get plannedRetryAfterMs(): Milliseconds | undefined {
+    return this.#plannedRetryAfterMs;
   }
 
-  /** Reads the prompt, first at `planned`; undefined when none did. */
+  /** Runs the prefill, first at `planned`; undefined if no replica finished it. */
   async run(planned: Replica, hall: string): Promise<Export | undefined> {
-    this.#planned = planned;
-    this.#limitedMs = undefined;
-    for (let tries = 0; tries < MOST_TRIES; tries++) {
-      const replica = tries === 0 ? planned : this.#choose(hall);
+    this.#plannedReplica = planned;
+    this.#plannedRetryAfterMs = undefined;
+    for (let tries = 0; tries < MAX_TRIES; tries++) {
+      const replica = tries === 0 ? planned : this.#chooseReplica(hall);
       if (!replica || this.#ended) return undefined;
       const { crashes } = this.#context;
       if (crashes.quarantineOf(this.#request.fingerprint)) return undefined;
-      if (!this.#attempts.affordPrefill()) return undefined;
+      if (!this.#attempts.chargePrefill()) return undefined;
       const outcome = await this.#context.gate.permit(replica);
       if (outcome.type === "closed") {
-        this.#noteUnused(replica, 0);
+        this.#noteSkipped(replica, 0);
         this.#excluded.add(replica.entry.incarnation);
         continue;
       }
       if (outcome.type === "refused") {
         this.#noteLimit(replica, outcome.retryAfterMs);
-        this.#noteUnused(replica, outcome.retryAfterMs);
+        this.#noteSkipped(replica, outcome.retryAfterMs);
         continue;
       }
       if (this.#ended) {
         outcome.permit.giveBack();
         return undefined;
       }
-      const made = await this.#runAt(replica, outcome.permit);
-      if (made) return made;
+      const exported = await this.#runAt(replica, outcome.permit);
+      if (exported) return exported;
       this.#excluded.add(replica.entry.incarnation);
     }
     return undefined;
   }
 
-  #choose(hall: string): Replica | undefined {
+  #chooseReplica(hall: string): Replica | undefined {
     const { replicas, gate, clock, random, tuning } = this.#context;
-    const open = replicas.openOf(this.#request.service).filter((one) =>
-      one.entry.stage === ReplicaStage.prefill && !gate.obstacle(one)
+    const open = replicas.openOf(this.#request.service).filter((replica) =>
+      replica.entry.stage === ReplicaStage.prefill && !gate.obstacle(replica)
     );
     const query = {
       hall,
@@ -109,11 +109,11 @@
       chance: random(),
       excluded: this.#excluded,
     };
-    return chooseReplica(open, query, (one) => one.calls);
+    return chooseReplica(open, query, (replica) => replica.calls);
   }
 
-  #noteUnused(replica: Replica, forMs: Milliseconds): void {
-    if (replica === this.#planned) this.#limitedMs = forMs;
+  #noteSkipped(replica: Replica, forMs: Milliseconds): void {
+    if (replica === this.#plannedReplica) this.#plannedRetryAfterMs = forMs;
   }
 
   #noteLimit(replica: Replica, retryAfterMs: Milliseconds): void {
@@ -128,7 +128,7 @@
     const { clock, dialect, tuning, metrics, events } = this.#context;
     const startedAt = clock.now();
     this.#sending = sendRequest(this.#context, this.#request, replica, {
-      head: {
+      headers: {
         mode: CallMode.prefill,
         replica: replica.entry.id,
         priority: this.#request.priority,
@@ -139,7 +139,7 @@
     });
     const result = await this.#sending.result;
     if (result.type === "closed") {
-      this.#noteUnused(replica, 0);
+      this.#noteSkipped(replica, 0);
       return undefined;
     }
     this.#noteArrival(result);
@@ -147,22 +147,22 @@
       ? result.answer.message.statusCode
       : 0;
     const body = result.type === "answer" && status === 200
-      ? await readWhole(result.answer, BODY_LIMIT)
+      ? await readWhole(result.answer, MAX_BODY_BYTES)
       : undefined;
     if (status === 200 && body === undefined) {
-      noteBreak(this.#context, this.#request, replica, !this.#ended);
+      noteInterruption(this.#context, this.#request, replica, !this.#ended);
     }
     const id = body === undefined ? undefined : dialect.readExport(body);
     if (id !== undefined) {
       metrics.time(Timing.prefill, clock.now() - startedAt);
       if (!this.#ended) return { replica, id };
-      this.drop({ replica, id });
+      this.dropExport({ replica, id });
       return undefined;
     }
     if (result.type === "answer") result.answer.message.resume();
     if (this.#ended) return undefined;
     if (result.type === "notRun" && result.isBackoff) {
-      this.#noteUnused(replica, 0);
+      this.#noteSkipped(replica, 0);
     }
     events.note("prefillFailed", {
       request: this.#request.facts.id,
@@ -174,16 +174,16 @@
   }
 
   #noteArrival(result: Exclude<SendResult, { type: "closed" }>): void {
-    const isTurnedAway = result.type === "notRun";
-    const hasArrived = !isTurnedAway || result.arrived;
-    if (hasArrived) this.#attempts.notePrefill(isTurnedAway);
+    const wasRejected = result.type === "notRun";
+    const hasArrived = !wasRejected || result.arrived;
+    if (hasArrived) this.#attempts.notePrefill(wasRejected);
   }
 
-  /** Lets go of a finished prefill that no decode will take. */
-  drop(made: Export): void {
+  /** Asks the replica to drop an export that no decode replica will use. */
+  dropExport(exported: Export): void {
     const { dialect, tuning } = this.#context;
-    const call = dialect.dropExport(made.id);
+    const call = dialect.dropExport(exported.id);
     const timeoutMs = tuning.reserveTimeoutMs;
-    void callEngine(this.#context, made.replica.entry, { call, timeoutMs });
+    void callEngine(this.#context, exported.replica.entry, { call, timeoutMs });
   }
 }
--- a/src/gateway/requests/refusals.ts
+++ b/src/gateway/requests/refusals.ts
@@ -1,15 +1,15 @@
-/** What is told where replicas take no request for a time. */
+/** Creates refusals for requests that replicas do not accept at present. */
 import type { Milliseconds } from "../../util/units.ts";
 import { GatewayError } from "../answers.ts";
 import type { GatewayContext } from "../context.ts";
 import type { NoPlace } from "../planning/places.ts";
-import type { PlaceRefusal } from "./placement.ts";
+import type { PlacementRefusal } from "./placement.ts";
 import type { Replica } from "../replicas/replica.ts";
 import type { GatewayRequest } from "./request.ts";
 
-/** Why there is no place, as a planner says. */
-export function plannerRefusal(place: NoPlace): PlaceRefusal {
-  const { reason, retryAfterMs, planner, basis } = place;
+/** Converts a planner's refusal. */
+export function plannerRefusal(refusal: NoPlace): PlacementRefusal {
+  const { reason, retryAfterMs, planner, basis } = refusal;
   const fields = { planner, ...basis };
   switch (reason) {
     case "no-replica":
@@ -26,37 +26,37 @@
 }
 
 /**
- * Callers that this host refuses for a time come back over this part of it, and
- * over this time at least, the more urgent first.
+ * Retries of refused callers are spread over this share of the delay, and at
+ * least over MIN_SPREAD_MS. The more urgent requests retry first.
  */
-const SPREAD = 0.33;
-const LEAST_SPREAD_MS: Milliseconds = 200;
-/** Less urgent requests come back together with those of this rank. */
-const LAST_RANK = 3;
+const SPREAD_SHARE = 0.33;
+const MIN_SPREAD_MS: Milliseconds = 200;
+/** Requests of a lower priority are treated like those of this rank. */
+const MAX_RANK = 3;
 
-/** When a caller is to come back to replicas that take one after `soonestMs`. */
-export function comeBackMs(
+/** Retry delay for a caller whose replicas accept requests after `soonestMs`. */
+export function spreadRetryAfterMs(
   { random }: Pick<GatewayContext, "random">,
   { priority }: Pick<GatewayRequest, "priority">,
   soonestMs: Milliseconds,
 ): Milliseconds {
-  const spreadMs = Math.max(LEAST_SPREAD_MS, soonestMs * SPREAD);
-  const rank = Math.min(LAST_RANK, priority);
-  return soonestMs + spreadMs * (rank + random()) / (LAST_RANK + 1);
+  const spreadMs = Math.max(MIN_SPREAD_MS, soonestMs * SPREAD_SHARE);
+  const rank = Math.min(MAX_RANK, priority);
+  return soonestMs + spreadMs * (rank + random()) / (MAX_RANK + 1);
 }
 
-/** All replicas that are left asked this host for a pause. */
+/** Refuses a request whose remaining replicas all asked this host to back off. */
 export function backoffRefusal(
   context: Pick<GatewayContext, "random">,
   request: Pick<GatewayRequest, "priority">,
   soonestMs: Milliseconds,
-): PlaceRefusal {
-  const retryAfterMs = comeBackMs(context, request, soonestMs);
+): PlacementRefusal {
+  const retryAfterMs = spreadRetryAfterMs(context, request, soonestMs);
   const basis = { backoff_ms: Math.round(soonestMs) };
   return { error: GatewayError.backingOff, retryAfterMs, basis };
 }
 
-/** Logs that a replica's limit has no room for the request now. */
+/** Logs that a replica's rate limit leaves no room for the request. */
 export function noteLimit(
   { events, limits }: Pick<GatewayContext, "events" | "limits">,
   { facts, route }: GatewayRequest,
--- a/src/gateway/requests/relay.ts
+++ b/src/gateway/requests/relay.ts
@@ -1,127 +1,127 @@
-/** Passes a replica's answer on to the caller. */
+/** Forwards a replica's response to the caller. */
 import type { Clock } from "../clock.ts";
 import type { Milliseconds } from "../../util/units.ts";
 import type { Answer } from "../upstreams/call.ts";
 import { type Route, RouteKind } from "../routing/model.ts";
-import { EventEdges } from "./event_edges.ts";
+import { EventSplitter } from "./event_edges.ts";
 import type { Reply } from "./request.ts";
 
-/** Answers up to this size are held until they are whole. */
-const HELD_BYTES = 256 * 1024;
+/** Responses up to this size are buffered until they are complete. */
+const MAX_BUFFERED_BYTES = 256 * 1024;
 
-/** How far the passing on went. */
-export type Relayed = "whole" | "cut";
+/** Whether the response was forwarded to its end. */
+export type RelayOutcome = "complete" | "interrupted";
 
-/** How an answer is passed on. */
-export type AnswerRelay = {
+/** Options of {@link relayAnswer}. */
+export type AnswerRelayOptions = {
   readonly route: Route;
-  /** Sends the answer's head; called before the first byte goes. */
-  readonly head: () => void;
-  /** The caller has the first byte. */
-  readonly firstByte: () => void;
-  /** How the events of a stream are passed on that may go on elsewhere. */
-  readonly events: EventRelay;
+  /** Sends the response headers; called before the first byte of the body. */
+  readonly writeHead: () => void;
+  /** Called when the first byte has been sent to the caller. */
+  readonly onFirstByte: () => void;
+  /** Used for streams that another replica can resume. */
+  readonly events: EventRelayOptions;
 };
 
-/** Passes an answer on: held until it is whole, or as it comes. */
+/** Forwards a response: streams as they arrive, others buffered up to a limit. */
 export async function relayAnswer(
   answer: Answer,
   reply: Reply,
-  { route, head, firstByte, events }: AnswerRelay,
-): Promise<Relayed> {
+  { route, writeHead, onFirstByte, events }: AnswerRelayOptions,
+): Promise<RelayOutcome> {
   if (route.kind !== RouteKind.streaming) {
-    const { relayed } = await relayHeld(answer, reply, head);
-    firstByte();
+    const { relayed } = await relayBuffered(answer, reply, writeHead);
+    onFirstByte();
     return relayed;
   }
-  head();
-  firstByte();
+  writeHead();
+  onFirstByte();
   if (!route.resumable) return await relayBytes(answer, reply);
   return await relayEvents(answer, reply, events);
 }
 
-/** Passes the body on as it comes. */
+/** Forwards the body as it arrives. */
 function relayBytes(
   answer: Answer,
   reply: Reply,
-): Promise<Relayed> {
+): Promise<RelayOutcome> {
   return relay(answer, {
-    part: (bytes) => pass(answer, reply, bytes),
-    whole: () => reply.end(),
+    data: (bytes) => forward(answer, reply, bytes),
+    complete: () => reply.end(),
   });
 }
 
-/** How far the events of a stream have gone. */
+/** The last event of a stream that was forwarded. */
 export type EventPosition = { lastId?: string };
 
-/** What the events of a stream are passed on by. */
-export type EventRelay = {
+/** Options for forwarding a resumable stream. */
+export type EventRelayOptions = {
   readonly position: EventPosition;
   readonly clock: Clock;
   readonly stallMs: Milliseconds;
-  /** Whether a silent stream is cut, to go on elsewhere. */
-  moveOn(): boolean;
+  /** Whether to abort a stalled stream so that another replica can resume it. */
+  abandonStalled(): boolean;
 };
 
 /**
- * Passes whole events on, so that another replica's events can follow. Each
- * time that no byte came for `stallMs`, `moveOn` says whether the stream is
- * cut to go on elsewhere; a silent replica alone is no reason.
+ * Forwards only complete events, so that another replica can resume the stream.
+ * Whenever no byte arrives for `stallMs`, `abandonStalled` decides whether to
+ * abort the stream.
  */
 function relayEvents(
   answer: Answer,
   reply: Reply,
-  { position, clock, stallMs, moveOn }: EventRelay,
-): Promise<Relayed> {
-  const edges = new EventEdges();
+  { position, clock, stallMs, abandonStalled }: EventRelayOptions,
+): Promise<RelayOutcome> {
+  const splitter = new EventSplitter();
   let cancelStall = () => {};
   const watch = () => {
     cancelStall();
     cancelStall = clock.after(stallMs, () => {
-      if (!moveOn()) return watch();
+      if (!abandonStalled()) return watch();
       answer.message.destroy();
     });
   };
   watch();
   return relay(answer, {
-    part: (bytes) => {
+    data: (bytes) => {
       watch();
-      const whole = edges.push(bytes);
-      if (whole.lastId !== undefined) position.lastId = whole.lastId;
-      if (whole.bytes.length > 0) pass(answer, reply, whole.bytes);
+      const complete = splitter.push(bytes);
+      if (complete.lastId !== undefined) position.lastId = complete.lastId;
+      if (complete.bytes.length > 0) forward(answer, reply, complete.bytes);
     },
-    whole: () => {
-      if (edges.rest.length > 0) reply.write(edges.rest);
+    complete: () => {
+      if (splitter.remainder.length > 0) reply.write(splitter.remainder);
       reply.end();
     },
   }).finally(() => cancelStall());
 }
 
 /**
- * Holds a small answer until it is whole: when it is cut off, nothing of it
- * has gone to the caller yet. `head` is called before the first byte goes.
+ * Buffers a small response until it is complete, so that nothing has been sent to
+ * the caller if the response is interrupted.
  */
-function relayHeld(
+function relayBuffered(
   answer: Answer,
   reply: Reply,
-  head: () => void,
-): Promise<{ readonly relayed: Relayed; readonly started: boolean }> {
-  const held: Buffer[] = [];
+  writeHead: () => void,
+): Promise<{ readonly relayed: RelayOutcome; readonly started: boolean }> {
+  const buffered: Buffer[] = [];
   let size = 0;
   let started = false;
   const start = () => {
     started = true;
-    head();
-    for (const bytes of held.splice(0)) pass(answer, reply, bytes);
+    writeHead();
+    for (const bytes of buffered.splice(0)) forward(answer, reply, bytes);
   };
   return relay(answer, {
-    part: (bytes) => {
-      if (started) return pass(answer, reply, bytes);
-      held.push(bytes);
+    data: (bytes) => {
+      if (started) return forward(answer, reply, bytes);
+      buffered.push(bytes);
       size += bytes.length;
-      if (size > HELD_BYTES) start();
+      if (size > MAX_BUFFERED_BYTES) start();
     },
-    whole: () => {
+    complete: () => {
       if (!started) start();
       reply.end();
     },
@@ -130,20 +130,20 @@
 
 function relay(
   answer: Answer,
-  on: { part(bytes: Buffer): void; whole(): void },
-): Promise<Relayed> {
+  on: { data(bytes: Buffer): void; complete(): void },
+): Promise<RelayOutcome> {
   return new Promise((resolve) => {
     const { message } = answer;
-    message.on("data", (bytes: Buffer) => on.part(bytes));
+    message.on("data", (bytes: Buffer) => on.data(bytes));
     message.on("close", () => {
-      if (!answer.intact()) return resolve("cut");
-      on.whole();
-      resolve("whole");
+      if (!answer.intact()) return resolve("interrupted");
+      on.complete();
+      resolve("complete");
     });
   });
 }
 
-function pass(answer: Answer, reply: Reply, bytes: Buffer): void {
+function forward(answer: Answer, reply: Reply, bytes: Buffer): void {
   if (reply.write(bytes)) return;
   answer.message.pause();
   void reply.drained().then(() => answer.message.resume());
--- a/src/gateway/requests/request.ts
+++ b/src/gateway/requests/request.ts
@@ -1,41 +1,41 @@
-/** A caller's request as the gateway holds it, and the way to its caller. */
+/** A caller's request, and the reply to the caller. */
 import type { Milliseconds } from "../../util/units.ts";
 import type { GatewayError } from "../answers.ts";
 import type { RequestFacts } from "../port.ts";
 import type { Customer } from "../customers/model.ts";
 import type { Route } from "../routing/model.ts";
 
-/** A request that was read whole and has a route. */
+/** A request with its complete body and its route. */
 export type GatewayRequest = {
   readonly method: string;
   readonly target: string;
-  /** Name and value by turns; those of the connection are left out. */
+  /** Alternating names and values, without hop-by-hop headers. */
   readonly rawHeaders: readonly string[];
   readonly facts: RequestFacts;
   readonly body: Buffer;
-  /** The same for each try of the same request, at any host. */
+  /** Equal for every attempt of the same request, at any host. */
   readonly fingerprint: () => string;
   readonly route: Route;
   readonly service: string;
-  /** Absent where no key is asked for. */
+  /** Absent on routes that require no key. */
   readonly customer?: Customer;
   /** 0 is the most urgent. */
   readonly priority: number;
   readonly receivedAt: Milliseconds;
-  /** It is answered, or ended, by then. */
+  /** The gateway ends the request at this time if no response is complete. */
   readonly limitAt: Milliseconds;
 };
 
-/** The answer on its way to the caller. */
+/** Writes the response to the caller. */
 export type Reply = {
-  /** Passes on the head of a replica's answer. */
+  /** Forwards the status and the headers of a replica's response. */
   head(status: number, rawHeaders: readonly string[]): void;
-  /** False: wait for `drained` before the next. */
+  /** Returns false if the caller should wait for `drained` before writing more. */
   write(bytes: Buffer): boolean;
   drained(): Promise<void>;
   end(): void;
-  /** An answer of the gateway's own. */
+  /** Sends an error response of the gateway. */
   fail(error: GatewayError, retryAfterSeconds?: number): void;
-  /** Ends a started answer so that it does not look complete. */
+  /** Aborts a started response so that the caller can tell it is incomplete. */
   breakOff(): void;
 };
--- a/src/gateway/requests/request_journal.ts
+++ b/src/gateway/requests/request_journal.ts
@@ -1,4 +1,4 @@
-/** What is logged and counted of one request. */
+/** Log events and metrics of one request. */
 import type { GatewayContext } from "../context.ts";
 import type { Milliseconds } from "../../util/units.ts";
 import type { Quarantine } from "../crashes/model.ts";
@@ -9,7 +9,7 @@
 import type { Placement } from "./placement.ts";
 import type { GatewayRequest } from "./request.ts";
 
-/** Logs and counts one request. */
+/** Writes the log events and the metrics of one request. */
 export class RequestJournal {
   readonly #context: GatewayContext;
   readonly #request: GatewayRequest;
@@ -22,7 +22,7 @@
     this.#request = request;
   }
 
-  /** An event of the request. */
+  /** Logs an event with the fields that all events of the request share. */
   note(name: EventName, fields: EventFields = {}): void {
     const { facts, route, customer } = this.#request;
     this.#context.events.note(name, {
@@ -33,7 +33,7 @@
     });
   }
 
-  /** It is sent to a replica, with what that was decided on. */
+  /** Logs a send to a replica and what the placement was based on. */
   placed(placed: Placement, sends: number): void {
     const { metrics, replicas, routes, clock, gate } = this.#context;
     const { facts } = this.#request;
@@ -57,7 +57,7 @@
     });
   }
 
-  /** Its whole answer was passed on. */
+  /** Logs that the complete response was forwarded. */
   answered(status: number): void {
     const { metrics } = this.#context;
     const spentMs = this.#spentMs();
@@ -66,28 +66,28 @@
     this.note("answered", { status, spent_ms: Math.round(spentMs) });
   }
 
-  /** It is not sent, since replicas crash under it. */
-  heldBack({ incarnations }: Quarantine): void {
+  /** Logs that the request is not sent because it crashes replicas. */
+  quarantined({ incarnations }: Quarantine): void {
     const fingerprint = this.#request.fingerprint();
     this.note("heldBack", { fingerprint, replicas: incarnations.join() });
   }
 
-  /** It ended without a whole answer. */
+  /** Logs that the request ended without a complete response. */
   ended(
     name: "broken" | "failed" | "refused",
     fields: EventFields & { readonly error: string },
   ): void {
     this.#context.metrics.count(`ended_${fields.error}`);
     const spentMs = Math.round(this.#spentMs());
-    const cut = name === "refused" ? {} : this.#cutFields();
-    this.note(name, { ...fields, ...cut, spent_ms: spentMs });
+    const lastSend = name === "refused" ? {} : this.#lastSendFields();
+    this.note(name, { ...fields, ...lastSend, spent_ms: spentMs });
   }
 
   /**
-   * Where and after which time the last send ended, and what was sent: by these
-   * the tries of one request are found over all hosts.
+   * The replica and the duration of the last send, and the fingerprint by which
+   * the attempts of one request can be found in the logs of all hosts.
    */
-  #cutFields(): EventFields {
+  #lastSendFields(): EventFields {
     const fingerprint = this.#request.fingerprint();
     if (!this.#lastSend) return { fingerprint };
     const { replica, at } = this.#lastSend;
--- a/src/gateway/requests/reservations.ts
+++ b/src/gateway/requests/reservations.ts
@@ -1,13 +1,13 @@
-/** Memory reserved at decode replicas: the replica's own answer decides. */
+/** Reserves and releases memory at decode replicas. */
 import type { Milliseconds } from "../../util/units.ts";
 import type { GatewayContext } from "../context.ts";
 import type { Replica } from "../replicas/replica.ts";
 import { callEngine } from "../upstreams/engine_call.ts";
 
-/** How long a reservation is asked for, unless the engine allows less. */
-const LIFE_MS = 2000;
+/** Requested lifetime of a reservation, unless the engine's limit is lower. */
+const RESERVATION_TTL_MS = 2000;
 
-/** Memory that is reserved at a replica. */
+/** Memory reserved at a replica. */
 export type Reservation = {
   readonly replica: Replica;
   readonly id: string;
@@ -15,19 +15,19 @@
   readonly expiresAt: Milliseconds;
 };
 
-/** Why there is no reservation: the replica said so, or said nothing. */
-export type NoReservation = "refused" | "silent";
+/** Whether the replica refused the reservation or did not respond. */
+export type ReservationFailure = "refused" | "noResponse";
 
 /** Reserves memory at a replica. */
-export async function takeReservation(
+export async function acquireReservation(
   context: GatewayContext,
   replica: Replica,
-  memory: { readonly tokens: number; readonly mostMs: Milliseconds },
-): Promise<Reservation | NoReservation> {
+  memory: { readonly tokens: number; readonly maxMs: Milliseconds },
+): Promise<Reservation | ReservationFailure> {
   const { clock, dialect, tuning, metrics } = context;
-  const lifeMs = Math.min(LIFE_MS, memory.mostMs);
-  const askedAt = clock.now();
-  const call = dialect.reserve(memory.tokens, lifeMs);
+  const ttlMs = Math.min(RESERVATION_TTL_MS, memory.maxMs);
+  const requestedAt = clock.now();
+  const call = dialect.reserve(memory.tokens, ttlMs);
   const timeoutMs = tuning.reserveTimeoutMs;
   context.gate.noteSend(replica.entry);
   const answer = await callEngine(context, replica.entry, { call, timeoutMs });
@@ -36,12 +36,12 @@
     : undefined;
   metrics.count(id === undefined ? "reservations_refused" : "reservations");
   if (!answer) replica.noteFailure(clock.now(), true);
-  if (id === undefined) return answer ? "refused" : "silent";
-  const expiresAt = askedAt + lifeMs;
+  if (id === undefined) return answer ? "refused" : "noResponse";
+  const expiresAt = requestedAt + ttlMs;
   return { replica, id, tokens: memory.tokens, expiresAt };
 }
 
-/** Lets go of memory that no request will use. */
+/** Releases memory that no request will use. */
 export function dropReservation(
   context: GatewayContext,
   reservation: Reservation,
--- a/src/gateway/requests/sender.ts
+++ b/src/gateway/requests/sender.ts
@@ -1,4 +1,4 @@
-/** Sends a request to a replica and says what is certain afterwards. */
+/** Sends a request to a replica and reports whether it may have run. */
 import type { Milliseconds } from "../../util/units.ts";
 import type { GatewayContext } from "../context.ts";
 import type { CallHead } from "../port.ts";
@@ -9,54 +9,57 @@
 import type { Answer, Call, CallOutcome } from "../upstreams/call.ts";
 import type { GatewayRequest } from "./request.ts";
 
-/** Statuses that promise that nothing ran; a replica must say so itself. */
-const PROMISES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
-/** Part of a replica's connections that the fleet uses. */
+/**
+ * Statuses that usually mean that the request did not run. Unless the replica
+ * states so explicitly, the outcome is treated as unknown.
+ */
+const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
+/** Share of a replica's connection limit that the fleet uses. */
 const CONNECTION_SHARE = 0.8;
 
-/** How a send went, up to the head of the answer. */
+/** The result of a send, up to the headers of the response. */
 export type SendResult =
   | { readonly type: "answer"; readonly answer: Answer }
-  /** It did not run at the replica and will not. */
+  /** The request did not run at the replica and never will. */
   | {
     readonly type: "notRun";
     readonly reason: string;
-    /** The replica itself said so, and it is the one that was meant. */
-    readonly turnedAway: boolean;
-    /** It reached the replica: the send counts against the retry budget. */
+    /** The intended replica responded that it did not run the request. */
+    readonly rejected: boolean;
+    /** The request reached the replica, so it counts towards the retry budget. */
     readonly arrived: boolean;
-    /** The replica asks this host for a pause: it has not failed. */
+    /** The replica asked this host to back off, which is not a failure. */
     readonly isBackoff: boolean;
   }
-  /** It may have run. */
+  /** The request may have run. */
   | { readonly type: "unknown"; readonly reason: string }
-  /** It was not sent: the replica takes nothing of this host now. */
+  /** Not sent: the replica is closed to this host at present. */
   | { readonly type: "closed"; readonly obstacle: Obstacle };
 
-/** A send under way. */
+/** A send in progress. */
 export type Sending = {
   readonly result: Promise<SendResult>;
   abort(reason: string): void;
 };
 
-/** How a request is sent. */
+/** Options of {@link sendRequest}. */
 export type SendOptions = {
-  readonly head: CallHead;
-  /** The replica takes one more request. */
+  readonly headers: CallHead;
+  /** Used when the request is sent, released otherwise. */
   readonly permit: SendPermit;
-  /** Without an answer's head by then, the call is ended. */
+  /** Aborts the call if no response headers arrive within this time. */
   readonly timeoutMs?: Milliseconds;
 };
 
-/** Sends a request, or its prompt alone, to a replica: the only way there. */
+/** Sends a request or its prefill; all requests to replicas pass through here. */
 export function sendRequest(
   context: GatewayContext,
   request: GatewayRequest,
   replica: Replica,
-  { head, permit, timeoutMs }: SendOptions,
+  { headers, permit, timeoutMs }: SendOptions,
 ): Sending {
-  // The request may have waited since its replica was chosen: only what is known
-  // now keeps new work from one that leaves, or that wants nothing from this host.
+  // The request may have waited since its replica was chosen, and the replica may
+  // have started to drain or to back off in the meantime.
   const obstacle = context.gate.obstacle(replica);
   if (obstacle) {
     permit.giveBack();
@@ -71,7 +74,7 @@
     method: request.method,
     path: request.target,
     headers: context.dialect.callHeaders(request.rawHeaders, {
-      ...head,
+      ...headers,
       ...(request.customer ? { customer: request.customer.name } : {}),
     }),
     body: request.body,
@@ -79,7 +82,7 @@
       context.routes.service(request.service)?.connectionLimit ?? 0,
       context.hostCount(),
     ),
-    // It may wait for a connection, too.
+    // Checked again once a connection is available.
     mayGo: () => context.gate.obstacle(replica) === undefined,
   });
   replica.calls += 1;
@@ -96,7 +99,7 @@
   return { result, abort: (reason) => call.abort(reason) };
 }
 
-/** Whether another replica could take a request in the stead of `entry`. */
+/** Whether another replica could serve the request instead of `entry`. */
 export function hasOtherReplica(
   { replicas, gate }: GatewayContext,
   { service }: GatewayRequest,
@@ -106,17 +109,17 @@
   },
 ): boolean {
   const { stage, incarnation } = entry;
-  return replicas.openOf(service).some((one) => {
-    const { entry: other } = one;
+  return replicas.openOf(service).some((replica) => {
+    const { entry: other } = replica;
     return other.stage === stage && other.incarnation !== incarnation &&
-      !excluded.has(other.incarnation) && !gate.obstacle(one);
+      !excluded.has(other.incarnation) && !gate.obstacle(replica);
   });
 }
 
 /**
- * A host's part of the connections that a replica takes of all hosts together;
- * one at least, or it could send nothing. The parts add up to no more than the
- * limit while there are no more hosts than connections.
+ * This host's share of a replica's connection limit, at least one connection. The
+ * shares of all hosts stay within the limit unless there are more hosts than
+ * connections.
  */
 export function connectionShare(limit: number, hosts: number): number {
   const share = limit * CONNECTION_SHARE / Math.max(1, hosts);
@@ -135,7 +138,7 @@
     const severe = outcome.reason === "No answer in time";
     noteFailure(context, replica, { reason: outcome.reason, severe });
     if (!outcome.isStale) {
-      noteBreak(context, request, replica, !outcome.isAborted);
+      noteInterruption(context, request, replica, !outcome.isAborted);
     }
     return { type: "unknown", reason: outcome.reason };
   }
@@ -144,15 +147,15 @@
   const now = context.clock.now();
   const status = message.statusCode ?? 0;
   const facts = context.dialect.readAnswer(status, message.headers);
-  const isOwn = belongs(request, status, facts.id);
+  const isMatching = isAnswerTo(request, status, facts.id);
   if (!facts.misdirected) {
     const { incarnation } = replica.entry;
     const answered = { sentAt, request: request.facts.id };
-    if (isOwn) context.gate.hear(incarnation, facts, answered);
-    // It tells of its replica too, but nobody knows when it was made.
+    if (isMatching) context.gate.hear(incarnation, facts, answered);
+    // The notices are valid for the replica, but may be old.
     else context.gate.hearCall(incarnation, facts, answered);
   }
-  if (!isOwn) {
+  if (!isMatching) {
     call.abort("An answer to another request");
     context.events.note("crossed", {
       request: request.facts.id,
@@ -164,14 +167,14 @@
   if (facts.notRun) {
     message.resume();
     if (facts.misdirected) replica.noteFailure(now, true);
-    const turnedAway = !facts.misdirected;
+    const rejected = !facts.misdirected;
     const reason = `Status ${status}`;
     const { backoff } = facts;
-    const isBackoff = turnedAway && backoff.type === "backoff" &&
+    const isBackoff = rejected && backoff.type === "backoff" &&
       backoff.forMs > 0;
-    return { type: "notRun", reason, turnedAway, arrived: true, isBackoff };
+    return { type: "notRun", reason, rejected, arrived: true, isBackoff };
   }
-  if (PROMISES.has(status)) {
+  if (NOT_RUN_STATUSES.has(status)) {
     message.resume();
     return { type: "unknown", reason: `Status ${status}` };
   }
@@ -180,7 +183,7 @@
   return { type: "answer", answer };
 }
 
-/** No byte of it reached the replica. */
+/** Handles a call of which no byte reached the replica. */
 function notSent(
   context: GatewayContext,
   replica: Replica,
@@ -195,14 +198,14 @@
   return {
     type: "notRun",
     reason,
-    turnedAway: false,
+    rejected: false,
     arrived: false,
     isBackoff: false,
   };
 }
 
-/** The request's answer ended early; `isByReplica`: not by this host. */
-export function noteBreak(
+/** Records an interrupted response; `isByReplica`: this host did not abort it. */
+export function noteInterruption(
   { crashes }: GatewayContext,
   { fingerprint }: GatewayRequest,
   { entry }: Replica,
@@ -211,8 +214,8 @@
   crashes.sendBroke(entry, { fingerprint, isByReplica });
 }
 
-/** Successes name their request; a failure may come without a name. */
-function belongs(
+/** Whether a response belongs to the request; error responses may lack the id. */
+function isAnswerTo(
   request: GatewayRequest,
   status: number,
   id: string | undefined,
@@ -228,9 +231,9 @@
 ): void {
   if (failure.reason === "The request ended") return;
   const now = context.clock.now();
-  const before = replica.paused(now);
+  const wasPaused = replica.paused(now);
   replica.noteFailure(now, failure.severe);
-  if (before || !replica.paused(now)) return;
+  if (wasPaused || !replica.paused(now)) return;
   context.events.note("replicaPaused", {
     replica: replica.entry.incarnation,
     address: replica.entry.address,
--- a/test/gateway/requests/backoff_engine_test.ts
+++ b/test/gateway/requests/backoff_engine_test.ts
@@ -1,4 +1,4 @@
-/** Requests to model engines that ask for a pause, by every way that leads there. */
+/** Requests to model engines that ask the host to back off. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { ReplicaStage } from "../../../src/gateway/mod.ts";
@@ -11,20 +11,20 @@
 } from "../raw_replica.ts";
 import { ENGINE, withRig } from "../rig.ts";
 import {
+  answersEngineCalls,
+  assertBacksOff,
   BUDGET,
-  checkAlone,
-  engine,
-  LONG_MS,
+  healthy,
+  LONG_BACKOFF_MS,
+  rejectsWithBackoff,
   requestsAt,
-  sound,
   statuses,
-  turnsAway,
 } from "./notice_rig.ts";
 
 const STREAM = { "x-tokens": "10,10" };
 
-test("a stream doesn't go on at a replica in a pause", async () => {
-  const cuts: RawAnswer = engine((request, socket) => {
+test("a stream is not resumed at a replica that backs off", async () => {
+  const cuts: RawAnswer = answersEngineCalls((request, socket) => {
     socket.end(chunkedHead(request) + chunk("id: 0\n\n"));
   });
   await withRig({
@@ -32,7 +32,10 @@
     budget: BUDGET,
     route: { kind: "streaming", resumable: true, attempts: 4 },
     replicas: [
-      { answer: engine(turnsAway(LONG_MS)), stage: ReplicaStage.decode },
+      {
+        answer: answersEngineCalls(rejectsWithBackoff(LONG_BACKOFF_MS)),
+        stage: ReplicaStage.decode,
+      },
       { answer: cuts, stage: ReplicaStage.decode },
     ],
   }, async (rig) => {
@@ -41,51 +44,57 @@
   });
 });
 
-test("prompts aren't read at a replica in a pause", async () => {
+test("a prefill replica that backs off gets no further prefill", async () => {
   await withRig({
     engine: ENGINE,
     budget: BUDGET,
     route: { kind: "streaming" },
     replicas: [
-      { answer: sound, stage: ReplicaStage.decode },
-      { answer: turnsAway(LONG_MS), stage: ReplicaStage.prefill },
+      { answer: healthy, stage: ReplicaStage.decode },
+      {
+        answer: rejectsWithBackoff(LONG_BACKOFF_MS),
+        stage: ReplicaStage.prefill,
+      },
     ],
   }, async (rig) => {
     assert.deepEqual(new Set(await statuses(rig, 6, STREAM)), new Set([200]));
     assert.equal(requestsAt(rig, 1), 1);
-    checkAlone(rig, "r1");
+    assertBacksOff(rig, "r1");
   });
 });
 
-test("a replica that has no memory and asks for a pause isn't asked again", async () => {
+test("a replica that refuses a reservation and backs off gets no further reservation", async () => {
   const isReserve = ({ path }: RawRequest) => path.startsWith("/reserve");
   await withRig({
     engine: ENGINE,
     route: { kind: "streaming" },
     replicas: [
-      { answer: turnsAway(LONG_MS), stage: ReplicaStage.decode },
-      { answer: sound, stage: ReplicaStage.decode },
+      {
+        answer: rejectsWithBackoff(LONG_BACKOFF_MS),
+        stage: ReplicaStage.decode,
+      },
+      { answer: healthy, stage: ReplicaStage.decode },
     ],
   }, async (rig) => {
     assert.deepEqual(new Set(await statuses(rig, 6, STREAM)), new Set([200]));
-    const asked = rig.replicas[0]?.requests.filter(isReserve) ?? [];
-    assert.equal(asked.length, 1);
+    const reservations = rig.replicas[0]?.requests.filter(isReserve) ?? [];
+    assert.equal(reservations.length, 1);
     assert.equal(requestsAt(rig, 0), 0);
-    checkAlone(rig, "r0");
+    assertBacksOff(rig, "r0");
   });
 });
 
-test("a model service whose replicas all ask for a pause refuses at once", async () => {
+test("a model service whose replicas all back off refuses at once", async () => {
   await withRig({
     engine: ENGINE,
     route: { kind: "streaming" },
     replicas: [
-      { answer: turnsAway(9000), stage: ReplicaStage.decode },
-      { answer: sound, stage: ReplicaStage.prefill },
+      { answer: rejectsWithBackoff(9000), stage: ReplicaStage.decode },
+      { answer: healthy, stage: ReplicaStage.prefill },
     ],
   }, async (rig) => {
     assert.deepEqual(await statuses(rig, 3, STREAM), [503, 503, 503]);
-    const refused = rig.events.filter((one) => one.name === "refused");
+    const refused = rig.events.filter((event) => event.name === "refused");
     for (const { fields } of refused) {
       assert.equal("error" in fields && fields.error, "backing_off");
     }
@@ -93,12 +102,12 @@
   });
 });
 
-test("a request that waits for memory takes the replica whose pause ends", async () => {
+test("a request that waits for memory uses a replica whose backoff ends", async () => {
   let isBusy = true;
-  const pauses: RawAnswer = (request, socket) => {
-    if (!isBusy) return sound(request, socket);
+  const backsOffOnce: RawAnswer = (request, socket) => {
+    if (!isBusy) return healthy(request, socket);
     isBusy = false;
-    turnsAway(200)(request, socket);
+    rejectsWithBackoff(200)(request, socket);
   };
   const full: RawAnswer = (request, socket) => {
     socket.write(whole(request, "{}").replace("200 OK", "503 Full"));
@@ -107,7 +116,7 @@
     engine: ENGINE,
     route: { kind: "streaming" },
     replicas: [
-      { answer: pauses, stage: ReplicaStage.decode },
+      { answer: backsOffOnce, stage: ReplicaStage.decode },
       { answer: full, stage: ReplicaStage.decode },
     ],
   }, async (rig) => {
@@ -116,32 +125,39 @@
   });
 });
 
-test("a stream that has begun waits for the end of a short pause", async () => {
+test("a started stream waits for the end of a short backoff", async () => {
   let count = 0;
   const breaksOnce: RawAnswer = (request, socket) => {
     count += 1;
     if (count === 1) socket.end(chunkedHead(request) + chunk("id: 0\n\n"));
-    else if (count === 2) turnsAway(200)(request, socket);
+    else if (count === 2) rejectsWithBackoff(200)(request, socket);
     else socket.write(whole(request, "id: 1\n\n"));
   };
   await withRig({
     engine: ENGINE,
     budget: BUDGET,
     route: { kind: "streaming", resumable: true, attempts: 4 },
-    replicas: [{ answer: engine(breaksOnce), stage: ReplicaStage.decode }],
+    replicas: [{
+      answer: answersEngineCalls(breaksOnce),
+      stage: ReplicaStage.decode,
+    }],
   }, async (rig) => {
-    const seen = await rig.call({ id: "s", method: "POST", headers: STREAM });
-    assert.ok(seen.complete);
-    assert.equal(seen.body, "id: 0\n\nid: 1\n\n");
+    const response = await rig.call({
+      id: "s",
+      method: "POST",
+      headers: STREAM,
+    });
+    assert.ok(response.complete);
+    assert.equal(response.body, "id: 0\n\nid: 1\n\n");
     assert.equal(requestsAt(rig, 0), 3);
   });
 });
 
-test("a request asks anew when the trial of a replica is over", async () => {
-  // The replica that was tried never answers; the other has no memory.
+test("a waiting request tries again when the trial of a replica ends", async () => {
+  // The tried replica never answers; the other has no memory.
   const hangs: RawAnswer = (request, socket) => {
-    if (request.number === 1) return turnsAway(1)(request, socket);
-    if (request.number !== 3) sound(request, socket);
+    if (request.number === 1) return rejectsWithBackoff(1)(request, socket);
+    if (request.number !== 3) healthy(request, socket);
   };
   const full: RawAnswer = (request, socket) => {
     socket.write(whole(request, "{}").replace("200 OK", "503 Full"));
--- a/test/gateway/requests/caller_gone_test.ts
+++ b/test/gateway/requests/caller_gone_test.ts
@@ -1,6 +1,6 @@
 /**
- * When a caller leaves, nothing more goes to a replica for it, what runs there
- * ends, and what was held there is let go, at whatever stage the request is.
+ * When a caller disconnects, at any stage of its request, the gateway sends nothing
+ * more for it, aborts its calls and releases its reservations and exports.
  */
 import assert from "node:assert/strict";
 import { connect, type Socket } from "node:net";
@@ -21,24 +21,24 @@
 
 const STREAM: Partial<Route> = { kind: RouteKind.streaming, attempts: 2 };
 
-/** What a replica does with each kind of call; what is absent is answered. */
-type Silences = {
-  readonly reserve?: "silent";
-  readonly prefill?: "silent";
-  readonly decode?: "silent" | "first event";
+/** Calls that a replica does not complete; it answers all others. */
+type Hangs = {
+  readonly reserve?: "hang";
+  readonly prefill?: "hang";
+  readonly decode?: "hang" | "first event";
 };
 
-/** A replica that is silent at some stage, and tells when its caller closes. */
+/** A replica that hangs at some stages and reports when the caller closes. */
 function replica(
-  silences: Silences,
+  hangs: Hangs,
   closed: (stage: string) => void,
 ): RawAnswer {
   return (request, socket) => {
     const stage = stageOf(request);
-    const silence = silences[stage as keyof Silences];
-    if (silence === undefined) return answer(stage, request, socket);
+    const hang = hangs[stage as keyof Hangs];
+    if (hang === undefined) return answer(stage, request, socket);
     socket.on("close", () => closed(stage));
-    if (silence === "silent") return;
+    if (hang === "hang") return;
     socket.write(chunkedHead(request) + chunk("id: 1\ndata: a\n\n"));
   };
 }
@@ -59,20 +59,20 @@
 }
 
 type Stage = {
-  readonly silences: Silences;
-  /** The call that is open when the caller leaves. */
+  readonly hangs: Hangs;
+  /** The call that is open when the caller disconnects. */
   readonly at: string;
 };
 
-/** The caller leaves while a call is open; gives all calls in the end. */
-async function leaveAt({ silences, at }: Stage): Promise<string[]> {
-  let reached: () => void = () => undefined;
-  const closings = new Set<string>();
-  const answers = replica(silences, (stage) => {
-    closings.add(stage);
-    reached();
+/** Disconnects the caller during a call; returns all calls to replicas. */
+async function disconnectAt({ hangs, at }: Stage): Promise<string[]> {
+  let onClosed: () => void = () => undefined;
+  const closedStages = new Set<string>();
+  const answers = replica(hangs, (stage) => {
+    closedStages.add(stage);
+    onClosed();
   });
-  const source: RigSource = {
+  const options: RigSource = {
     route: STREAM,
     engine: ENGINE,
     replicas: [
@@ -81,21 +81,21 @@
     ],
   };
   const calls = (rig: Rig) =>
-    rig.replicas.flatMap((one) => one.requests).map(stageOf).sort();
+    rig.replicas.flatMap((replica) => replica.requests).map(stageOf).sort();
   let all: string[] = [];
-  await withRig(source, async (rig) => {
-    const seen = rig.call({ method: "POST", body: "prompt" })
+  await withRig(options, async (rig) => {
+    const response = rig.call({ method: "POST", body: "prompt" })
       .catch(() => undefined);
     await until(() => calls(rig).includes(at));
     rig.leave();
-    await seen;
+    await response;
     if (at !== "reserve") {
       await new Promise<void>((resolve) => {
-        reached = resolve;
-        if (closings.has(at)) resolve();
+        onClosed = resolve;
+        if (closedStages.has(at)) resolve();
       });
     }
-    await until(() => rig.events.some((one) => one.name === "callerGone"));
+    await until(() => rig.events.some((event) => event.name === "callerGone"));
     await until(() => rig.context.replicas.get("r1")?.calls === 0);
     await settle();
     all = calls(rig);
@@ -103,58 +103,58 @@
   return all;
 }
 
-async function until(isSo: () => boolean): Promise<void> {
-  while (!isSo()) await new Promise((resolve) => setTimeout(resolve, 5));
+async function until(isMet: () => boolean): Promise<void> {
+  while (!isMet()) await new Promise((resolve) => setTimeout(resolve, 5));
 }
 
-/** Lets what was sent arrive: more rounds of the loop than any chain of it. */
+/** Waits until everything sent has arrived. */
 async function settle(): Promise<void> {
   for (let round = 0; round < 50; round++) {
     await new Promise((resolve) => setTimeout(resolve, 1));
   }
 }
 
-test("a caller that leaves while memory is reserved gets no prefill", async () => {
-  const calls = await leaveAt({
-    silences: { reserve: "silent" },
+test("a caller that disconnects during the reservation gets no prefill", async () => {
+  const calls = await disconnectAt({
+    hangs: { reserve: "hang" },
     at: "reserve",
   });
   assert.deepEqual(calls, ["reserve"]);
 });
 
-test("a caller that leaves while its prompt is read ends that, and holds nothing", async () => {
-  const calls = await leaveAt({
-    silences: { prefill: "silent" },
+test("a caller that disconnects during the prefill aborts it and releases the reservation", async () => {
+  const calls = await disconnectAt({
+    hangs: { prefill: "hang" },
     at: "prefill",
   });
   assert.deepEqual(calls, ["drop reserve", "prefill", "reserve"]);
 });
 
-test("a caller that leaves before its first event ends the run", async () => {
-  const calls = await leaveAt({
-    silences: { decode: "silent" },
+test("a caller that disconnects before its first event aborts the decode", async () => {
+  const calls = await disconnectAt({
+    hangs: { decode: "hang" },
     at: "decode",
   });
-  assert.deepEqual(calls.filter((one) => !one.startsWith("drop")), [
+  assert.deepEqual(calls.filter((call) => !call.startsWith("drop")), [
     "decode",
     "prefill",
     "reserve",
   ]);
 });
 
-test("a caller that leaves in the middle of its answer ends the run", async () => {
-  const calls = await leaveAt({
-    silences: { decode: "first event" },
+test("a caller that disconnects during its response aborts the decode", async () => {
+  const calls = await disconnectAt({
+    hangs: { decode: "first event" },
     at: "decode",
   });
-  assert.deepEqual(calls.filter((one) => !one.startsWith("drop")), [
+  assert.deepEqual(calls.filter((call) => !call.startsWith("drop")), [
     "decode",
     "prefill",
     "reserve",
   ]);
 });
 
-test("a caller that leaves in the middle of its body is sent nowhere", async () => {
+test("a request whose caller disconnects during its body is not sent", async () => {
   const answers = replica({}, () => undefined);
   await withRig({ replicas: [{ answer: answers }] }, async (rig) => {
     const [host = "", port = ""] = rig.address.split(":");
@@ -166,26 +166,28 @@
     await settle();
     socket.destroy();
     await settle();
-    // The host goes on: another caller's request is the only one that arrives.
+    // The host keeps serving: only another caller's request arrives.
     assert.equal((await rig.call({ id: "2" })).status, 200);
-    const [only, ...more] = rig.replicas.flatMap((one) => one.requests);
-    assert.equal(only?.headers.get("x-id"), "2");
-    assert.equal(more.length, 0);
+    const [request, ...others] = rig.replicas.flatMap((replica) =>
+      replica.requests
+    );
+    assert.equal(request?.headers.get("x-id"), "2");
+    assert.equal(others.length, 0);
   });
 });
 
-test("a caller that reads nothing and leaves ends the run, however much is unread", async () => {
+test("a caller that disconnects without reading a large response aborts the call", async () => {
   let closed: () => void = () => undefined;
   const isClosed = new Promise<void>((resolve) => closed = resolve);
   const endless: RawAnswer = (request, socket) => {
     socket.on("close", () => closed());
     socket.write(chunkedHead(request));
     const event = chunk(`id: 1\ndata: ${"a".repeat(60_000)}\n\n`);
-    const go = () => {
+    const writeAll = () => {
       while (!socket.destroyed && socket.write(event));
     };
-    socket.on("drain", go);
-    go();
+    socket.on("drain", writeAll);
+    writeAll();
   };
   const route = { ...STREAM, attempts: 1 };
   await withRig({ route, replicas: [{ answer: endless }] }, async (rig) => {
--- a/test/gateway/requests/connection_share_test.ts
+++ b/test/gateway/requests/connection_share_test.ts
@@ -1,11 +1,11 @@
-/** Hosts together keep to the connections that a replica takes. */
+/** The connection limit of a replica, shared by all hosts. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import fc from "fast-check";
 import "../../fixed_seed.ts";
 import { connectionShare } from "../../../src/gateway/requests/sender.ts";
 
-test("the hosts' parts of a replica's connections add up to no more than it takes", () => {
+test("the connection shares of all hosts stay within a replica's limit", () => {
   const sizes = fc.record({
     limit: fc.integer({ min: 1, max: 2000 }),
     hosts: fc.integer({ min: 1, max: 400 }),
@@ -15,7 +15,7 @@
     assert.ok(share >= 1);
     if (hosts <= limit) assert.ok(share * hosts <= limit);
   }));
-  // 330 hosts before replicas that take 370 connections opened up to 1,320.
+  // With barely more connections than hosts, each host gets a single one.
   assert.equal(connectionShare(370, 330), 1);
   assert.equal(connectionShare(110, 9), 9);
 });
--- a/test/gateway/requests/leaving_test.ts
+++ b/test/gateway/requests/leaving_test.ts
@@ -1,4 +1,4 @@
-/** Requests to replicas that say they leave, by every way that leads there. */
+/** Requests to replicas that announce in a response that they drain. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { ReplicaStage } from "../../../src/gateway/mod.ts";
@@ -6,34 +6,36 @@
 import { chunk, chunkedHead, type RawAnswer, whole } from "../raw_replica.ts";
 import { ENGINE, withRig } from "../rig.ts";
 import {
+  answersEngineCalls,
   BUDGET,
-  engine,
-  isOwnCall,
+  healthy,
+  isHostCall,
   requestsAt,
-  sound,
   statuses,
 } from "./notice_rig.ts";
 
-const LEAVING = ["x-leaving: 1"];
+const DRAINING = ["x-leaving: 1"];
 
-const leaves: RawAnswer = engine((request, socket) => {
-  socket.write(whole(request, "answer", LEAVING));
+const drains: RawAnswer = answersEngineCalls((request, socket) => {
+  socket.write(whole(request, "answer", DRAINING));
 });
 
-test("a plain service uses the replica beside one that leaves", async () => {
-  const replicas = [{ answer: leaves }, { answer: sound }];
+test("a plain service uses the other replica while one drains", async () => {
+  const replicas = [{ answer: drains }, { answer: healthy }];
   await withRig({ route: { kind: "unsafe" }, replicas }, async (rig) => {
     assert.deepEqual(new Set(await statuses(rig, 20)), new Set([200]));
     assert.equal(requestsAt(rig, 0), 1);
-    const heard = rig.events.filter((one) => one.name === "replicaLeaving");
-    assert.deepEqual(heard.map((one) => one.fields), [
+    const announced = rig.events.filter((event) =>
+      event.name === "replicaLeaving"
+    );
+    assert.deepEqual(announced.map((event) => event.fields), [
       { replica: "r0", source: "answer", request: "r0" },
     ]);
   });
 });
 
-test("a service whose replicas all leave refuses at once, with a time", async () => {
-  const replicas = [{ answer: leaves }, { answer: leaves }];
+test("a service whose replicas all drain refuses at once with a Retry-After", async () => {
+  const replicas = [{ answer: drains }, { answer: drains }];
   await withRig({ route: { kind: "unsafe" }, replicas }, async (rig) => {
     await statuses(rig, 2);
     const { status, headers } = await rig.call({ id: "last" });
@@ -44,12 +46,12 @@
 });
 
 for (const status of ["404 Missing", "500 Failed", "503 Full"]) {
-  test(`an answer of ${status} closes its replica too`, async () => {
+  test(`a response with status ${status} also closes its draining replica`, async () => {
     const fails: RawAnswer = (request, socket) => {
-      const head = whole(request, "x", LEAVING).replace("200 OK", status);
+      const head = whole(request, "x", DRAINING).replace("200 OK", status);
       socket.write(head);
     };
-    const replicas = [{ answer: fails }, { answer: sound }];
+    const replicas = [{ answer: fails }, { answer: healthy }];
     const route = { kind: "safe", attempts: 4 } as const;
     await withRig({ route, budget: BUDGET, replicas }, async (rig) => {
       await statuses(rig, 10);
@@ -58,25 +60,25 @@
   });
 }
 
-test("what another replica at the address says closes none", async () => {
-  const other: RawAnswer = (request, socket) => {
-    const head = whole(request, "x", [...LEAVING, "x-backoff: 9000"]);
+test("notices from another replica at the address close no replica", async () => {
+  const misdirected: RawAnswer = (request, socket) => {
+    const head = whole(request, "x", [...DRAINING, "x-backoff: 9000"]);
     socket.write(head.replace("200 OK", "421 Misdirected"));
   };
-  const replicas = [{ answer: other }, { answer: sound }];
+  const replicas = [{ answer: misdirected }, { answer: healthy }];
   await withRig({ budget: BUDGET, replicas }, async (rig) => {
     assert.deepEqual(new Set(await statuses(rig, 4)), new Set([200]));
-    const { replicas: table } = rig.context;
-    assert.equal(table.openOf("service").length, 2);
+    const { replicas: listing } = rig.context;
+    assert.equal(listing.openOf("service").length, 2);
   });
 });
 
-test("a late answer to another request closes its replica", async () => {
+test("a late response to another request closes its draining replica", async () => {
   const crosses: RawAnswer = (request, socket) => {
-    const head = whole(request, "x", LEAVING);
+    const head = whole(request, "x", DRAINING);
     socket.write(head.replace(/x-id: .*\r\n/, "x-id: other\r\n"));
   };
-  const replicas = [{ answer: crosses }, { answer: sound }];
+  const replicas = [{ answer: crosses }, { answer: healthy }];
   await withRig({ budget: BUDGET, replicas }, async (rig) => {
     await statuses(rig, 6);
     assert.equal(requestsAt(rig, 0), 1);
@@ -85,9 +87,9 @@
 
 const STREAM = { "x-tokens": "10,10" };
 
-test("a stream doesn't go on at a replica that leaves", async () => {
-  const cuts: RawAnswer = engine((request, socket) => {
-    socket.end(chunkedHead(request, LEAVING) + chunk("id: 0\n\n"));
+test("a stream is not resumed at a draining replica", async () => {
+  const cuts: RawAnswer = answersEngineCalls((request, socket) => {
+    socket.end(chunkedHead(request, DRAINING) + chunk("id: 0\n\n"));
   });
   await withRig({
     engine: ENGINE,
@@ -95,7 +97,7 @@
     route: { kind: "streaming", resumable: true, attempts: 4 },
     replicas: [
       { answer: cuts, stage: ReplicaStage.decode },
-      { answer: sound, stage: ReplicaStage.decode },
+      { answer: healthy, stage: ReplicaStage.decode },
     ],
   }, async (rig) => {
     await statuses(rig, 6, STREAM);
@@ -103,17 +105,17 @@
   });
 });
 
-test("prompts aren't read at a replica that leaves", async () => {
-  const reads: RawAnswer = (request, socket) => {
-    socket.write(whole(request, '{"export":"e"}', LEAVING));
+test("a draining replica gets no further prefill", async () => {
+  const prefills: RawAnswer = (request, socket) => {
+    socket.write(whole(request, '{"export":"e"}', DRAINING));
   };
   await withRig({
     engine: ENGINE,
     budget: BUDGET,
     route: { kind: "streaming" },
     replicas: [
-      { answer: sound, stage: ReplicaStage.decode },
-      { answer: reads, stage: ReplicaStage.prefill },
+      { answer: healthy, stage: ReplicaStage.decode },
+      { answer: prefills, stage: ReplicaStage.prefill },
     ],
   }, async (rig) => {
     assert.deepEqual(new Set(await statuses(rig, 6, STREAM)), new Set([200]));
@@ -121,10 +123,10 @@
   });
 });
 
-test("a request whose decode replica leaves during its prefill goes elsewhere", async () => {
-  let hearLeaving: () => void = () => undefined;
-  const reads: RawAnswer = (request, socket) => {
-    if (!isOwnCall(request)) hearLeaving();
+test("a request whose decode replica drains during the prefill goes elsewhere", async () => {
+  let startDraining: () => void = () => undefined;
+  const prefills: RawAnswer = (request, socket) => {
+    if (!isHostCall(request)) startDraining();
     socket.write(whole(request, '{"export":"e"}'));
   };
   await withRig({
@@ -132,39 +134,41 @@
     budget: BUDGET,
     route: { kind: "streaming" },
     replicas: [
-      { answer: sound, stage: ReplicaStage.decode },
-      { answer: sound, stage: ReplicaStage.decode },
-      { answer: reads, stage: ReplicaStage.prefill },
+      { answer: healthy, stage: ReplicaStage.decode },
+      { answer: healthy, stage: ReplicaStage.decode },
+      { answer: prefills, stage: ReplicaStage.prefill },
     ],
   }, async (rig) => {
     const { leaving } = rig.context;
-    // Memory is reserved at the decode replica by then.
-    hearLeaving = () => {
-      const at = rig.replicas.findIndex((one) => one.requests.length > 0);
+    // Called after memory has been reserved at the decode replica.
+    startDraining = () => {
+      const at = rig.replicas.findIndex((replica) =>
+        replica.requests.length > 0
+      );
       leaving.take([`r${at}`], undefined);
-      hearLeaving = () => undefined;
+      startDraining = () => undefined;
     };
     assert.deepEqual(await statuses(rig, 1, STREAM), [200]);
-    const held = rig.events.filter((one) => one.name === "passedOver");
-    assert.equal(held.length, 1);
-    const { replica } = held[0]?.fields as { replica: string };
+    const skipped = rig.events.filter((event) => event.name === "passedOver");
+    assert.equal(skipped.length, 1);
+    const { replica } = skipped[0]?.fields as { replica: string };
     assert.equal(requestsAt(rig, Number(replica.slice(1))), 0);
-    // What was read for it is let go where it is kept.
-    const kept = rig.replicas[2]?.requests ?? [];
-    assert.ok(kept.some((one) => one.method === "DELETE"));
+    // The unused export is dropped at the prefill replica.
+    const prefillCalls = rig.replicas[2]?.requests ?? [];
+    assert.ok(prefillCalls.some((call) => call.method === "DELETE"));
   });
 });
 
-test("an engine that says it leaves where memory is reserved gets no request", async () => {
-  const tells: RawAnswer = (request, socket) => {
-    socket.write(whole(request, '{"reservation":"r"}', LEAVING));
+test("an engine that announces draining in a reservation response gets no request", async () => {
+  const reserves: RawAnswer = (request, socket) => {
+    socket.write(whole(request, '{"reservation":"r"}', DRAINING));
   };
   await withRig({
     engine: ENGINE,
     route: { kind: "streaming" },
     replicas: [
-      { answer: tells, stage: ReplicaStage.decode },
-      { answer: sound, stage: ReplicaStage.decode },
+      { answer: reserves, stage: ReplicaStage.decode },
+      { answer: healthy, stage: ReplicaStage.decode },
     ],
   }, async (rig) => {
     assert.deepEqual(new Set(await statuses(rig, 6, STREAM)), new Set([200]));
@@ -173,13 +177,13 @@
   });
 });
 
-test("requests that wait for a connection aren't sent once their replica leaves", async () => {
+test("requests that wait for a connection are not sent once their replica drains", async () => {
   const held: (() => void)[] = [];
   const hangs: RawAnswer = (request, socket) => {
-    held.push(() => sound(request, socket));
+    held.push(() => healthy(request, socket));
   };
   await withRig({ replicas: [{ answer: hangs }] }, async (rig) => {
-    // A host's part of the connections that the replica takes, and five more.
+    // Five more requests than this host's share of the replica's connections.
     const share = connectionShare(100, 1);
     const calls = Array.from(
       { length: share + 5 },
@@ -188,9 +192,15 @@
     await rig.arrived(share);
     rig.context.leaving.take(["r0"], undefined);
     for (const answer of held) answer();
-    const seen = await Promise.all(calls);
-    assert.equal(seen.filter((one) => one.status === 200).length, share);
-    assert.equal(seen.filter((one) => one.status === 503).length, 5);
+    const responses = await Promise.all(calls);
+    assert.equal(
+      responses.filter((response) => response.status === 200).length,
+      share,
+    );
+    assert.equal(
+      responses.filter((response) => response.status === 503).length,
+      5,
+    );
     assert.equal(requestsAt(rig, 0), share);
   });
 });
--- a/test/gateway/requests/limits_test.ts
+++ b/test/gateway/requests/limits_test.ts
@@ -1,4 +1,4 @@
-/** Requests to replicas that limit them, by every way that leads there. */
+/** Requests to replicas that announce a rate limit. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { ReplicaStage } from "../../../src/gateway/mod.ts";
@@ -11,12 +11,12 @@
 } from "../raw_replica.ts";
 import { ENGINE, type Rig, withRig } from "../rig.ts";
 
-/** The retry budget never ends a test. */
+/** Large enough that no test exhausts it. */
 const BUDGET = { ratio: 0, extra: 1000 };
-/** Comes to one request in 5 s. */
-const NONE_LEFT = "0";
+/** Allows about one request in 5 s. */
+const NO_CAPACITY = "0";
 
-function named(limit: string): RawAnswer {
+function answersWithLimit(limit: string): RawAnswer {
   return (request, socket) => {
     if (isReserve(request)) {
       return void socket.write(whole(request, '{"reservation":"r"}'));
@@ -25,7 +25,7 @@
   };
 }
 
-const plain: RawAnswer = (request, socket) => {
+const healthy: RawAnswer = (request, socket) => {
   const body = isReserve(request) ? '{"reservation":"r"}' : "answer";
   socket.write(whole(request, body));
 };
@@ -34,22 +34,24 @@
   return path.startsWith("/reserve");
 }
 
-/** Requests of callers that came to a replica. */
+/** Counts the callers' requests that a replica received. */
 function requestsAt({ replicas }: Rig, at: number): number {
   const all = replicas[at]?.requests ?? [];
-  return all.filter((one) => !isReserve(one)).length;
+  return all.filter((request) => !isReserve(request)).length;
 }
 
 async function statuses(rig: Rig, count: number): Promise<number[]> {
-  const seen: number[] = [];
+  const received: number[] = [];
   for (let at = 0; at < count; at++) {
-    seen.push((await rig.call({ id: `r${at}`, method: "POST" })).status);
+    received.push((await rig.call({ id: `r${at}`, method: "POST" })).status);
   }
-  return seen;
+  return received;
 }
 
-test("a plain service uses the replica beside one that takes no more", async () => {
-  const replicas = [{ answer: named(NONE_LEFT) }, { answer: plain }];
+test("a plain service uses the other replica while one is at its limit", async () => {
+  const replicas = [{ answer: answersWithLimit(NO_CAPACITY) }, {
+    answer: healthy,
+  }];
   await withRig({ route: { kind: "unsafe" }, replicas }, async (rig) => {
     assert.deepEqual(new Set(await statuses(rig, 20)), new Set([200]));
     assert.ok(requestsAt(rig, 0) <= 2);
@@ -59,26 +61,30 @@
   });
 });
 
-test("a service whose replicas take no more refuses at once, with a time", async () => {
-  const replicas = [{ answer: named(NONE_LEFT) }, { answer: named("0.1") }];
+test("a service whose replicas are at their limits refuses at once with a Retry-After", async () => {
+  const replicas = [{ answer: answersWithLimit(NO_CAPACITY) }, {
+    answer: answersWithLimit("0.1"),
+  }];
   await withRig({ route: { kind: "unsafe" }, replicas }, async (rig) => {
     await statuses(rig, 4);
     const { status, headers, body } = await rig.call({ id: "last" });
     assert.equal(status, 503);
     assert.ok(Number(headers["retry-after"]) > 0);
     assert.match(body, /only so many requests/);
-    const ended = rig.events.findLast((one) => one.name === "refused");
+    const ended = rig.events.findLast((event) => event.name === "refused");
     assert.ok(ended && "error" in ended.fields);
     assert.equal(ended.fields.error, "limited");
   });
 });
 
-test("a retry doesn't go to a replica that takes no more", async () => {
+test("a retry is not sent to a replica at its limit", async () => {
   const fails: RawAnswer = (request, socket) => {
     const head = whole(request, "x").replace("200 OK", "500 Failed");
     socket.write(head);
   };
-  const replicas = [{ answer: named(NONE_LEFT) }, { answer: fails }];
+  const replicas = [{ answer: answersWithLimit(NO_CAPACITY) }, {
+    answer: fails,
+  }];
   const route = { kind: "safe", attempts: 4 } as const;
   await withRig({ route, budget: BUDGET, replicas }, async (rig) => {
     await statuses(rig, 30);
@@ -87,10 +93,10 @@
   });
 });
 
-test("a stream doesn't go on at a replica that takes no more", async () => {
+test("a stream is not resumed at a replica at its limit", async () => {
   let cuts = 0;
   const cuts20: RawAnswer = (request, socket) => {
-    if (isReserve(request)) return plain(request, socket);
+    if (isReserve(request)) return healthy(request, socket);
     cuts += 1;
     if (cuts > 20) return void socket.write(whole(request, "id: 1\n\n"));
     socket.end(chunkedHead(request) + chunk("id: 0\n\n"));
@@ -100,7 +106,7 @@
     budget: BUDGET,
     route: { kind: "streaming", resumable: true, attempts: 4 },
     replicas: [
-      { answer: named(NONE_LEFT), stage: ReplicaStage.decode },
+      { answer: answersWithLimit(NO_CAPACITY), stage: ReplicaStage.decode },
       { answer: cuts20, stage: ReplicaStage.decode },
     ],
   }, async (rig) => {
@@ -112,9 +118,9 @@
   });
 });
 
-test("prompts aren't read at a replica that takes no more", async () => {
-  const reads: RawAnswer = (request, socket) => {
-    const extra = [`x-limit: ${NONE_LEFT}`];
+test("a prefill replica at its limit gets no further prefill", async () => {
+  const prefills: RawAnswer = (request, socket) => {
+    const extra = [`x-limit: ${NO_CAPACITY}`];
     socket.write(whole(request, '{"export":"e"}', extra));
   };
   await withRig({
@@ -122,35 +128,41 @@
     budget: BUDGET,
     route: { kind: "streaming", objectiveMs: 300 },
     replicas: [
-      { answer: plain, stage: ReplicaStage.decode },
-      { answer: reads, stage: ReplicaStage.prefill },
+      { answer: healthy, stage: ReplicaStage.decode },
+      { answer: prefills, stage: ReplicaStage.prefill },
     ],
   }, async (rig) => {
     const headers = { "x-tokens": "10,10" };
     for (let at = 0; at < 8; at++) {
-      const seen = await rig.call({ id: `s${at}`, method: "POST", headers });
-      assert.equal(seen.status, 200);
+      const response = await rig.call({
+        id: `s${at}`,
+        method: "POST",
+        headers,
+      });
+      assert.equal(response.status, 200);
     }
     assert.ok(requestsAt(rig, 1) <= 2, `${requestsAt(rig, 1)} prompts`);
     assert.equal(rig.context.replicas.get("r1")?.failures, 0);
   });
 });
 
-test("a limit that is no number stops nothing, and is logged", async () => {
-  const replicas = [{ answer: named("abc") }, { answer: named("abc") }];
+test("a limit that is not a number is ignored and logged", async () => {
+  const replicas = [{ answer: answersWithLimit("abc") }, {
+    answer: answersWithLimit("abc"),
+  }];
   await withRig({ route: { kind: "unsafe" }, replicas }, async (rig) => {
     assert.deepEqual(new Set(await statuses(rig, 10)), new Set([200]));
     assert.equal(rig.context.limits.limited, 0);
-    assert.ok(rig.events.some((one) => one.name === "limitUnreadable"));
+    assert.ok(rig.events.some((event) => event.name === "limitUnreadable"));
   });
 });
 
-test("a replica that turns requests away for its limit isn't passed over for failing", async () => {
-  const turnsAway: RawAnswer = (request, socket) => {
+test("rejections because of a rate limit do not count as failures", async () => {
+  const rejects: RawAnswer = (request, socket) => {
     const extra = ["x-not-run: 1", "x-limit: 50"];
     socket.write(whole(request, "", extra).replace("200 OK", "503 Full"));
   };
-  const replicas = [{ answer: turnsAway }, { answer: plain }];
+  const replicas = [{ answer: rejects }, { answer: healthy }];
   await withRig({ budget: BUDGET, replicas }, async (rig) => {
     assert.deepEqual(new Set(await statuses(rig, 20)), new Set([200]));
     const limited = rig.context.replicas.get("r0");
@@ -159,9 +171,9 @@
   });
 });
 
-test("an answer that belongs to another request ends no limit", async () => {
+test("a response to another request does not lift a limit", async () => {
   const answer: RawAnswer = (request, socket) => {
-    if (request.number === 1) return named("50")(request, socket);
+    if (request.number === 1) return answersWithLimit("50")(request, socket);
     const head = whole(request, "x").replace(/x-id: .*\r\n/, "x-id: other\r\n");
     socket.write(head);
   };
@@ -169,7 +181,7 @@
   let time = 0;
   const now = () => time += 1;
   await withRig({ route, replicas: [{ answer }], now }, async (rig) => {
-    // An owner that has just started gives little.
+    // An owner that has just started grants few permits.
     time += 60_000;
     assert.deepEqual(await statuses(rig, 2), [200, 502]);
     assert.equal(rig.context.limits.limited, 1);
--- a/test/gateway/requests/notice_rig.ts
+++ b/test/gateway/requests/notice_rig.ts
@@ -1,27 +1,30 @@
-/** Replicas that say something of themselves, and what came to them. */
+/** Raw replicas that send notices in their response headers. */
 import assert from "node:assert/strict";
 import { type RawAnswer, type RawRequest, whole } from "../raw_replica.ts";
 import type { Rig } from "../rig.ts";
 
-/** The retry budget never ends a test. */
+/** Large enough that no test exhausts it. */
 export const BUDGET = { ratio: 0, extra: 1000 };
-/** Longer than any test. */
-export const LONG_MS = 60_000;
+/** A backoff longer than any test. */
+export const LONG_BACKOFF_MS = 60_000;
 
-/** Calls of the host's own: memory, and finished prefills. */
-export const isOwnCall = ({ path }: RawRequest) =>
+/** Whether the host itself made the call, for a reservation or an export. */
+export const isHostCall = ({ path }: RawRequest) =>
   /^.(reserve|export)/.test(path);
 
-/** Answers calls of the host's own, and requests with `answer`. */
-export function engine(answer: RawAnswer): RawAnswer {
+/** Answers reservation and export calls, and passes requests to `answer`. */
+export function answersEngineCalls(answer: RawAnswer): RawAnswer {
   return (request, socket) => {
-    if (!isOwnCall(request)) return answer(request, socket);
+    if (!isHostCall(request)) return answer(request, socket);
     socket.write(whole(request, '{"reservation":"r"}'));
   };
 }
 
-/** Turns a request away and asks for a pause. */
-export function turnsAway(forMs: number | string, extra = ["x-not-run: 1"]) {
+/** Rejects a request and asks the host to back off. */
+export function rejectsWithBackoff(
+  forMs: number | string,
+  extra = ["x-not-run: 1"],
+) {
   const answer: RawAnswer = (request, socket) => {
     const head = whole(request, "", [...extra, `x-backoff: ${forMs}`]);
     socket.write(head.replace("200 OK", "503 Full"));
@@ -29,33 +32,33 @@
   return answer;
 }
 
-/** Answers as it should. */
-export const sound: RawAnswer = engine((request, socket) => {
+/** Answers all calls with success. */
+export const healthy: RawAnswer = answersEngineCalls((request, socket) => {
   socket.write(whole(request, "answer"));
 });
 
-/** Requests of callers that came to a replica. */
+/** Counts the callers' requests that a replica received. */
 export function requestsAt({ replicas }: Rig, at: number): number {
   const all = replicas[at]?.requests ?? [];
-  return all.filter((one) => !isOwnCall(one)).length;
+  return all.filter((request) => !isHostCall(request)).length;
 }
 
-/** Sends requests one after the other. */
+/** Sends requests one after the other and returns their statuses. */
 export async function statuses(
   rig: Rig,
   count: number,
   headers: Readonly<Record<string, string>> = {},
 ): Promise<number[]> {
-  const seen: number[] = [];
+  const received: number[] = [];
   for (let at = 0; at < count; at++) {
     const call = { id: `r${at}`, method: "POST", headers };
-    seen.push((await rig.call(call)).status);
+    received.push((await rig.call(call)).status);
   }
-  return seen;
+  return received;
 }
 
-/** It is left alone, and not held to have failed. */
-export function checkAlone({ context }: Rig, id: string): void {
+/** Asserts that the host backs off from a replica and counts no failure. */
+export function assertBacksOff({ context }: Rig, id: string): void {
   const replica = context.replicas.get(id);
   assert.ok(replica);
   assert.equal(context.gate.obstacle(replica)?.type, "backoff");
--- a/test/gateway/requests/placements_test.ts
+++ b/test/gateway/requests/placements_test.ts
@@ -1,4 +1,4 @@
-/** What placers ask of a planner, and what they give back. */
+/** The messages that placers exchange with a planner. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { GatewayContext } from "../../../src/gateway/context.ts";
@@ -48,10 +48,10 @@
   limitAt: 1000,
 };
 
-/** A context whose planner is a test, and what it was told over the wire. */
-function start(answer: (message: object) => void) {
+/** A context with a fake planner, and the messages that the planner receives. */
+function start(onMessage: (message: object) => void) {
   const timers: (() => void)[] = [];
-  const told: object[] = [];
+  const messages: object[] = [];
   let reply: (message: object) => void = () => undefined;
   const replicas = new ReplicaTable();
   const context = {
@@ -92,61 +92,68 @@
     }],
   });
   const plans = {
-    attach: (_host: string, take: (message: object) => void) => reply = take,
+    attach: (_host: string, receive: (message: object) => void) =>
+      reply = receive,
     take: (_from: string, message: object) => {
       const wire: unknown = JSON.parse(JSON.stringify(message));
-      told.push(HostMessageSchema.parse(wire));
-      answer(message);
+      messages.push(HostMessageSchema.parse(wire));
+      onMessage(message);
     },
   } as unknown as PlanService;
-  const places = new Places(context, plans, () => []);
-  return { context, places, timers, told, reply: (one: object) => reply(one) };
+  const planner = new Places(context, plans, () => []);
+  return {
+    context,
+    planner,
+    timers,
+    messages,
+    reply: (message: object) => reply(message),
+  };
 }
 
-const typesOf = (told: readonly object[]) =>
-  told.map((one) => {
-    const { type, stage } = one as { type: string; stage?: string };
+const typesOf = (messages: readonly object[]) =>
+  messages.map((message) => {
+    const { type, stage } = message as { type: string; stage?: string };
     return stage ?? type;
   });
 
-test("a plain request asks in a form that the wire carries, and gives back", async () => {
+test("a plain placement sends valid messages and releases its assignment", async () => {
   const rig = start((message) => {
     const { type, id } = message as { type: string; id: string };
     if (type === "ask") rig.reply({ type: "grant", id, decode: "a" });
   });
-  const placer = new PlainPlacement(rig.context, REQUEST, rig.places);
-  const placed = await placer.place({ excluded: new Set(), begun: false });
+  const placer = new PlainPlacement(rig.context, REQUEST, rig.planner);
+  const placed = await placer.place({ excluded: new Set(), mayHaveRun: false });
   assert.ok("replica" in placed && placed.replica.entry.incarnation === "a");
-  placer.used();
+  placer.completed();
   placer.end();
-  assert.deepEqual(typesOf(rig.told), ["ask", "answered"]);
+  assert.deepEqual(typesOf(rig.messages), ["ask", "answered"]);
 });
 
-test("without a planner's word a plain request goes by the host's own calls", async () => {
+test("a plain placement without a planner's response uses the host's own call counts", async () => {
   const rig = start(() => undefined);
-  const placer = new PlainPlacement(rig.context, REQUEST, rig.places);
-  const placing = placer.place({ excluded: new Set(), begun: false });
+  const placer = new PlainPlacement(rig.context, REQUEST, rig.planner);
+  const placing = placer.place({ excluded: new Set(), mayHaveRun: false });
   for (const timer of rig.timers.splice(0)) timer();
   const placed = await placing;
   assert.ok("replica" in placed && placed.replica.entry.incarnation === "a");
-  assert.deepEqual(typesOf(rig.told), ["ask", "ended"]);
+  assert.deepEqual(typesOf(rig.messages), ["ask", "ended"]);
 });
 
-test("a request that ends while its memory is refused asks no more", async () => {
+test("a request that ends while its reservation is refused sends no further request", async () => {
   const rig = start((message) => {
     const { type, id } = message as { type: string; id: string };
     if (type !== "ask") return;
     queueMicrotask(() => rig.reply({ type: "grant", id, decode: "a" }));
     queueMicrotask(() => placer.end());
   });
-  const { context, places } = rig;
+  const { context, planner } = rig;
   const attempts = new Attempts(context, REQUEST);
   const request = REQUEST;
-  const source = { context, places, request, engine: ENGINE, attempts };
-  const placer = new EnginePlacement(source);
-  const placed = await placer.place({ excluded: new Set(), begun: false });
+  const options = { context, planner, request, engine: ENGINE, attempts };
+  const placer = new EnginePlacement(options);
+  const placed = await placer.place({ excluded: new Set(), mayHaveRun: false });
   assert.ok("error" in placed);
-  const asks = typesOf(rig.told).filter((one) => one === "ask");
-  assert.equal(asks.length, 1);
-  assert.notEqual(typesOf(rig.told).at(-1), "ask");
+  const requests = typesOf(rig.messages).filter((type) => type === "ask");
+  assert.equal(requests.length, 1);
+  assert.notEqual(typesOf(rig.messages).at(-1), "ask");
 });
