--- a/src/gateway/stages/balance.ts
+++ b/src/gateway/stages/balance.ts
@@ -1,66 +1,71 @@
-/** Which replica should change its stage; pure. */
+/** Decides which replicas should change their stage; performs no I/O. */
 import type { Milliseconds } from "../../util/units.ts";
 import type { StageLoad } from "../planning/view.ts";
 import { type ReplicaEntry, ReplicaStage } from "../replicas/model.ts";
 
-/** A change that would bring a service nearer to its share of prefill. */
+/** A change that brings a service closer to its share of prefill replicas. */
 export type StageChange = {
   readonly replica: ReplicaEntry;
   readonly stage: ReplicaStage;
 };
 
-/** Replicas that the count may be off the share before one is changed. */
-const TOLERANCE = 0.75;
-/** A stage this busy is short of replicas; a stage below it can give one. */
-const BUSY = 0.6;
+/** Deviation from the share, in replicas, above which a replica is changed. */
+const SHARE_TOLERANCE = 0.75;
+/** A stage below this load needs no more replicas. */
+const BUSY_LOAD = 0.6;
 
 /**
- * The change that is wanted now, if any: towards the share, and only where
- * the load of the stages speaks for it. Halls with the most replicas of the
- * stage that gives go first, so that a hall that is cut off keeps both stages
- * where it can.
+ * The next change towards the share, if the load of the stages justifies one.
+ * Takes the replica from the hall with the most replicas of its stage, so that
+ * halls keep both stages if they become isolated.
  */
-export function wantedChange(
+export function desiredChange(
   replicas: readonly ReplicaEntry[],
   share: number,
   load: StageLoad | undefined,
 ): StageChange | undefined {
-  const staged = replicas.filter((one) => !one.leaving && one.stage);
-  const prefills = staged.filter((one) => one.stage === ReplicaStage.prefill);
-  const decodes = staged.filter((one) => one.stage === ReplicaStage.decode);
+  const staged = replicas.filter((replica) =>
+    !replica.leaving && replica.stage
+  );
+  const prefills = staged.filter((replica) =>
+    replica.stage === ReplicaStage.prefill
+  );
+  const decodes = staged.filter((replica) =>
+    replica.stage === ReplicaStage.decode
+  );
   const surplus = prefills.length - staged.length * share;
-  if (surplus > TOLERANCE && prefills.length > 1) {
-    if (load && load.decode < BUSY) return undefined;
-    const replica = fromFullestHall(prefills);
+  if (surplus > SHARE_TOLERANCE && prefills.length > 1) {
+    if (load && load.decode < BUSY_LOAD) return undefined;
+    const replica = fromLargestHall(prefills);
     return replica && { replica, stage: ReplicaStage.decode };
   }
-  if (surplus < -TOLERANCE && decodes.length > 1) {
-    if (load && load.prefill < BUSY) return undefined;
-    const replica = fromFullestHall(decodes);
+  if (surplus < -SHARE_TOLERANCE && decodes.length > 1) {
+    if (load && load.prefill < BUSY_LOAD) return undefined;
+    const replica = fromLargestHall(decodes);
     return replica && { replica, stage: ReplicaStage.prefill };
   }
   return undefined;
 }
 
-/** Part of a service's engines that may change at once under traffic. */
-const CHANGING_SHARE = 0.05;
+/** Share of a service's engines that may change at once under traffic. */
+const MAX_CHANGING_SHARE = 0.05;
 
 /**
- * All changes that are wanted now: before the first traffic as many as lead
- * to the share, later only a few, for each takes its replica out for seconds.
+ * All changes desired now. Under traffic their number is limited, since each takes
+ * its replica out of service for seconds.
  */
-export function wantedChanges(
+export function desiredChanges(
   replicas: readonly ReplicaEntry[],
   share: number,
   load: StageLoad | undefined,
 ): StageChange[] {
-  const most = load
-    ? Math.max(1, Math.floor(replicas.length * CHANGING_SHARE))
+  const maxChanges = load
+    ? Math.max(1, Math.floor(replicas.length * MAX_CHANGING_SHARE))
     : replicas.length;
   const after = [...replicas];
   const changes: StageChange[] = [];
-  while (changes.length < most) {
-    const change = wantedChange(after, share, load);
+  while (changes.length < maxChanges) {
+    const change = desiredChange(after, share, load);
     if (!change) return changes;
     changes.push(change);
     const at = after.indexOf(change.replica);
@@ -69,36 +74,35 @@
   return changes;
 }
 
-/** Part of the old mean that stays with each new sample. */
-const LOAD_MEMORY = 0.9;
-/** A load below this is no traffic: the stages are still at rest. */
-const AT_REST = 0.01;
+/** Weight of the previous value in the exponential moving average. */
+const SMOOTHING_FACTOR = 0.9;
+/** A decode load below this counts as no traffic. */
+const IDLE_LOAD = 0.01;
 
-/** The load of a service's stages, smoothed; none before the first traffic. */
-export class SmoothLoad {
+/** Exponential moving average of the load of a service's stages. */
+export class SmoothedLoad {
   #load: StageLoad | undefined;
 
-  /** The smoothed load; undefined while there was no traffic. */
+  /** The smoothed load; undefined before the first traffic. */
   get load(): StageLoad | undefined {
     return this.#load;
   }
 
-  /** Takes a sample. */
   add(sample: StageLoad): void {
-    const known = this.#load;
-    if (!known && sample.decode < AT_REST) return;
+    const previous = this.#load;
+    if (!previous && sample.decode < IDLE_LOAD) return;
     const blend = (old: number, now: number) =>
-      old * LOAD_MEMORY + now * (1 - LOAD_MEMORY);
-    this.#load = known
+      old * SMOOTHING_FACTOR + now * (1 - SMOOTHING_FACTOR);
+    this.#load = previous
       ? {
-        prefill: blend(known.prefill, sample.prefill),
-        decode: blend(known.decode, sample.decode),
+        prefill: blend(previous.prefill, sample.prefill),
+        decode: blend(previous.decode, sample.decode),
       }
       : sample;
   }
 }
 
-function fromFullestHall(
+function fromLargestHall(
   replicas: readonly ReplicaEntry[],
 ): ReplicaEntry | undefined {
   const sizes = new Map<string, number>();
@@ -109,28 +113,29 @@
   )[0];
 }
 
-/** Remembers since when a change has been wanted, and when one was ordered. */
-export class ChangePatience {
-  #since: Milliseconds | undefined;
-  #quietUntil: Milliseconds = 0;
+/** Delays a change until it has been desired for some time. */
+export class ChangeDebounce {
+  #desiredSince: Milliseconds | undefined;
+  #suspendedUntil: Milliseconds = 0;
 
-  /** Whether a change that is wanted now has been so for `patienceMs`. */
-  ripe(
-    wanted: boolean,
-    patienceMs: Milliseconds,
+  /** Whether a change has been desired for `debounceMs` without interruption. */
+  isDue(
+    isDesired: boolean,
+    debounceMs: Milliseconds,
     now: Milliseconds,
   ): boolean {
-    if (!wanted) {
-      this.#since = undefined;
+    if (!isDesired) {
+      this.#desiredSince = undefined;
       return false;
     }
-    this.#since ??= now;
-    return now >= this.#quietUntil && now - this.#since >= patienceMs;
+    this.#desiredSince ??= now;
+    return now >= this.#suspendedUntil &&
+      now - this.#desiredSince >= debounceMs;
   }
 
-  /** No further change until `until`. */
-  rest(until: Milliseconds): void {
-    this.#quietUntil = until;
-    this.#since = undefined;
+  /** Holds back further changes until `until`. */
+  suspendUntil(until: Milliseconds): void {
+    this.#suspendedUntil = until;
+    this.#desiredSince = undefined;
   }
 }
--- a/src/gateway/stages/lease.ts
+++ b/src/gateway/stages/lease.ts
@@ -1,12 +1,12 @@
 /**
- * The right to order changes of stage in one service: a row of the store,
- * taken under a condition. The row's revision is the fencing token. A new
- * holder takes it only a whole guard time after the last one's right has
- * ended, by the store's own clock, so that two holders never take turns.
+ * The lease for ordering stage changes in one service: a row of the store that is
+ * acquired by a conditional write. The row's revision is the fencing token. By the
+ * store's clock, a new holder acquires the lease at the earliest one guard time
+ * after it expired, so that the orders of two holders are never close together.
  *
- * A store that comes back from an older copy gives revisions out again and may
- * lack a lease that was taken: the era goes before the revision in the token, and
- * until a lease could have ended that the copy lacks, none is taken.
+ * A store that is restored from an older copy reuses revisions and may lack a
+ * lease. The token therefore starts with the era, and no lease is acquired until
+ * any lease that the copy may lack has expired.
  */
 import * as z from "zod";
 import type { Milliseconds } from "../../util/units.ts";
@@ -17,14 +17,13 @@
 import type { StoreEras } from "../state/store_eras.ts";
 
 const TABLE = "otterhill-leases";
-/** How long a lease gives the right to order. */
-const LEASE_MS = 2500;
+const LEASE_TTL_MS = 2500;
 
-const Row = z.object({
+const LeaseRow = z.object({
   holder: z.string(),
-  /** The store's clock when it was taken. */
+  /** The store's clock when the lease was acquired. */
   takenMs: z.number(),
-  /** The store's era then; absent: it told none. */
+  /** The store's era at that time; absent if the store reported none. */
   era: z.number().exactOptional(),
 });
 
@@ -32,37 +31,37 @@
 export type Lease = {
   readonly holder: string;
   readonly fence: number;
-  /** It ends with the store's era. */
+  /** The lease ends when the store's era changes. */
   readonly era: number;
-  /** By this process's clock; no order leaves after it. */
+  /** Expiry by this process's clock; no order is sent after it. */
   readonly until: Milliseconds;
 };
 
-/** What taking a lease needs. */
-export type LeaseSource = {
+/** Options of {@link acquireLease}. */
+export type LeaseOptions = {
   readonly store: Store;
   readonly clock: Clock;
   readonly holder: string;
-  /** Least time between the orders of two holders. */
+  /** Minimum time between the orders of two holders. */
   readonly guardMs: Milliseconds;
   readonly eras: Pick<StoreEras, "era" | "ageMs" | "hear">;
 };
 
-/** Takes the lease of a service; undefined while another's may stand. */
-export async function takeLease(
-  source: LeaseSource,
+/** Acquires the lease of a service; undefined if another host may hold it. */
+export async function acquireLease(
+  options: LeaseOptions,
   service: string,
   signal: AbortSignal,
 ): Promise<Lease | undefined> {
-  const { store, clock, holder, guardMs, eras } = source;
+  const { store, clock, holder, guardMs, eras } = options;
   const reading = await store.readRows(TABLE, signal);
   const era = Math.max(eras.era, reading.era ?? 0);
   eras.hear(positionOf(era, 0), clock.now());
-  const row = reading.rows.find((one) => one.key === service);
+  const row = reading.rows.find((candidate) => candidate.key === service);
   const eraAgeMs = eras.ageMs(clock.now());
-  const asker = { holder, guardMs, nowMs: reading.nowMs, era, eraAgeMs };
-  if (!isFree(row, asker)) return undefined;
-  const askedAt = clock.now();
+  const requester = { holder, guardMs, nowMs: reading.nowMs, era, eraAgeMs };
+  if (!isFree(row, requester)) return undefined;
+  const requestedAt = clock.now();
   const written = await store.writeRow({
     table: TABLE,
     key: service,
@@ -71,37 +70,38 @@
         holder,
         takenMs: reading.nowMs,
         ...(era > 0 ? { era } : {}),
-      } satisfies z.input<typeof Row>,
+      } satisfies z.input<typeof LeaseRow>,
     ),
     ifRevision: row?.revision ?? 0,
   }, signal);
   if (written.type === "conflict") return undefined;
-  // The row that the condition named may have been another's by then.
+  // After a change of era, the conditional write may have matched a different row.
   if (written.era !== reading.era) return undefined;
-  // The row tells the clock of the reading, which is earlier than the write:
-  // what others wait for is counted from there, and so is our own right.
-  const spentMs = clock.now() - askedAt;
-  const until = askedAt + LEASE_MS - spentMs;
+  // The row holds the store's clock at the read, before the write. Other hosts
+  // count from there, so the lease ends earlier by the duration of the write.
+  const spentMs = clock.now() - requestedAt;
+  const until = requestedAt + LEASE_TTL_MS - spentMs;
   return { holder, fence: positionOf(era, written.revision), era, until };
 }
 
-/** Whether the row gives way to `holder`. */
+/** Whether the requester may acquire the lease in `row`. */
 export function isFree(
   row: StoreRow | undefined,
-  asker: {
+  requester: {
     readonly holder: string;
     readonly guardMs: Milliseconds;
     readonly nowMs: Milliseconds;
-    /** The store's era, and how long the asker has known it. */
+    /** The store's era. */
     readonly era: number;
+    /** How long the requester has known the era. */
     readonly eraAgeMs: Milliseconds;
   },
 ): boolean {
-  const read = row && readJson(Row, row.value);
-  if (!read || (read.era ?? 0) !== asker.era) {
-    return asker.eraAgeMs > LEASE_MS + asker.guardMs;
+  const lease = row && readJson(LeaseRow, row.value);
+  if (!lease || (lease.era ?? 0) !== requester.era) {
+    return requester.eraAgeMs > LEASE_TTL_MS + requester.guardMs;
   }
-  if (read.holder === asker.holder) return true;
-  const endsMs = read.takenMs + LEASE_MS + asker.guardMs;
-  return asker.nowMs > endsMs;
+  if (lease.holder === requester.holder) return true;
+  const endsMs = lease.takenMs + LEASE_TTL_MS + requester.guardMs;
+  return requester.nowMs > endsMs;
 }
--- a/src/gateway/stages/stage_loop.ts
+++ b/src/gateway/stages/stage_loop.ts
@@ -1,8 +1,8 @@
 /**
- * Keeps each service's share of prefill replicas. The host that plans a
- * service acts: when a change is wanted for a while, it takes the lease, asks
- * the replica how it is, and orders the change once. It plans nothing for the
- * replica until the listing shows the change.
+ * Maintains each service's share of prefill replicas. When a change has been
+ * desired for some time, the host that plans the service acquires the lease,
+ * requests the replica's report and orders the change once. The replica gets no new
+ * work while the change may be in progress.
  */
 import type { Milliseconds } from "../../util/units.ts";
 import { sleep } from "../clock.ts";
@@ -14,100 +14,108 @@
 import { callEngine } from "../upstreams/engine_call.ts";
 import type { StageLoad } from "../planning/view.ts";
 import {
-  ChangePatience,
-  SmoothLoad,
+  ChangeDebounce,
+  desiredChanges,
+  SmoothedLoad,
   type StageChange,
-  wantedChanges,
 } from "./balance.ts";
-import { type Lease, takeLease } from "./lease.ts";
+import { acquireLease, type Lease } from "./lease.ts";
 
-const LOOK_MS = 500;
-/** A host that plans no model service looks whether it does so often. */
-const IDLE_LOOK_MS = 1500;
-/** A change must have been wanted for so long, before the first traffic. */
-const FIRST_PATIENCE_MS = 1500;
-/** And later: replicas that crash or are cut off are mostly back by then. */
-const PATIENCE_MS = 8000;
+const CHECK_INTERVAL_MS = 500;
+/** Interval at a host that plans no model service. */
+const IDLE_CHECK_INTERVAL_MS = 1500;
+/** How long a change must have been desired before the first traffic. */
+const INITIAL_DEBOUNCE_MS = 1500;
+/**
+ * How long a change must have been desired later; replicas that crashed or were
+ * unreachable have usually recovered by then.
+ */
+const DEBOUNCE_MS = 8000;
 const STORE_TIMEOUT_MS = 1000;
 const CALL_TIMEOUT_MS = 600;
-/** An order without an answer may be carried out so much later. */
-const LATE_ORDER_MS = 13_000;
-/** A replica under a change finishes what it runs, at most about so long. */
+/** How late a replica may carry out an order that it did not answer. */
+const MAX_ORDER_DELAY_MS = 13_000;
+/** Time for a replica to finish its requests before a change. */
 const DRAIN_MS = 5000;
-/** Pause after a try that ordered nothing, and before the first traffic. */
-const FAILED_REST_MS = 3000;
-/** A listing older than this decides nothing. */
-const LISTING_AGE_MS = 2500;
+/** Delay after an attempt that ordered nothing, or before the first traffic. */
+const FAILED_RETRY_MS = 3000;
+/** No changes are ordered by an older listing. */
+const MAX_LISTING_AGE_MS = 2500;
 
-/** What the loop needs. */
-export type StageLoopSource = {
+/** Options of {@link runStageLoop}. */
+export type StageLoopOptions = {
   readonly context: GatewayContext;
   readonly store: Store;
-  /** Names this run of this host. */
+  /** Identifies this host as a lease holder. */
   readonly holder: string;
   readonly guardMs: Milliseconds;
-  /** Share of a service's engines that read prompts. */
+  /** Desired share of prefill replicas among a service's engines. */
   readonly prefillShare: number;
   storeAgeMs(now: Milliseconds): Milliseconds;
-  /** The host that plans a service, as this host sees it. */
+  /** The host that plans a service, according to this host. */
   plannerOf(service: string): string;
-  /** How busy a service's stages are. */
   loadOf(service: string): StageLoad;
-  /** Replicas under a change, kept from new work. */
+  /** Replicas whose change may be in progress; they get no new work. */
   readonly changing: Map<string, ReplicaStage>;
 };
 
-/** Runs for as long as the process lives. */
-export async function runStageLoop(source: StageLoopSource): Promise<void> {
-  const { context } = source;
+/** Runs until the process exits. */
+export async function runStageLoop(options: StageLoopOptions): Promise<void> {
+  const { context } = options;
   const states = new Map<string, ServiceState>();
-  let plans = true;
+  let isPlanner = true;
   for (;;) {
-    await sleep(context.clock, plans ? LOOK_MS : IDLE_LOOK_MS);
-    plans = false;
+    await sleep(
+      context.clock,
+      isPlanner ? CHECK_INTERVAL_MS : IDLE_CHECK_INTERVAL_MS,
+    );
+    isPlanner = false;
     if (context.stop.askedAt !== undefined) continue;
-    if (source.storeAgeMs(context.clock.now()) > LISTING_AGE_MS) continue;
+    if (options.storeAgeMs(context.clock.now()) > MAX_LISTING_AGE_MS) continue;
     for (const service of context.routes.config?.services ?? []) {
       if (!service.engine) continue;
-      if (source.plannerOf(service.name) !== context.self.id) continue;
-      plans = true;
+      if (options.plannerOf(service.name) !== context.self.id) continue;
+      isPlanner = true;
       const state = states.get(service.name) ??
-        { patience: new ChangePatience(), load: new SmoothLoad() };
+        { debounce: new ChangeDebounce(), load: new SmoothedLoad() };
       states.set(service.name, state);
-      await lookAt(source, service, state);
+      await checkService(options, service, state);
     }
   }
 }
 
-/** What is remembered of one service. */
+/** State kept for one service. */
 type ServiceState = {
-  readonly patience: ChangePatience;
-  readonly load: SmoothLoad;
+  readonly debounce: ChangeDebounce;
+  readonly load: SmoothedLoad;
 };
 
-async function lookAt(
-  source: StageLoopSource,
+async function checkService(
+  options: StageLoopOptions,
   service: Service,
   state: ServiceState,
 ): Promise<void> {
-  const { context, prefillShare } = source;
+  const { context, prefillShare } = options;
   const { clock } = context;
-  const { patience } = state;
-  state.load.add(source.loadOf(service.name));
+  const { debounce } = state;
+  state.load.add(options.loadOf(service.name));
   const { load } = state.load;
-  const entries = entriesOf(source, service);
-  const changes = wantedChanges(entries, prefillShare, load);
-  const patienceMs = load ? PATIENCE_MS : FIRST_PATIENCE_MS;
+  const entries = openEntriesOf(options, service);
+  const changes = desiredChanges(entries, prefillShare, load);
+  const debounceMs = load ? DEBOUNCE_MS : INITIAL_DEBOUNCE_MS;
   const now = clock.now();
-  if (!patience.ripe(changes.length > 0, patienceMs, now)) return;
-  const tries = await act(source, service, changes);
-  const longest = Math.max(FAILED_REST_MS, ...tries.map((one) => one.restMs));
-  patience.rest(clock.now() + (load ? longest : FAILED_REST_MS));
+  if (!debounce.isDue(changes.length > 0, debounceMs, now)) return;
+  const attempts = await orderChanges(options, service, changes);
+  const longestMs = Math.max(
+    FAILED_RETRY_MS,
+    ...attempts.map((attempt) => attempt.delayMs),
+  );
+  debounce.suspendUntil(clock.now() + (load ? longestMs : FAILED_RETRY_MS));
 }
 
-/** Replicas that take work; those under a change count as changed. */
-function entriesOf(
-  { context, changing }: StageLoopSource,
+/** Open replicas; those with a pending change are listed with their new stage. */
+function openEntriesOf(
+  { context, changing }: StageLoopOptions,
   service: Service,
 ): ReplicaEntry[] {
   return context.replicas.openOf(service.name).map(({ entry }) => {
@@ -116,115 +124,122 @@
   });
 }
 
-/** How a try to order a change went. */
-type Try = {
-  /** The change is under way, or may be. */
-  readonly taken: boolean;
-  /** Time to wait before the next. */
-  readonly restMs: Milliseconds;
+/** The result of an attempt to order a change. */
+type OrderAttempt = {
+  /** The change is in progress or may be. */
+  readonly isPending: boolean;
+  /** Delay before the next attempt. */
+  readonly delayMs: Milliseconds;
 };
 
-const FAILED_TRY: Try = { taken: false, restMs: FAILED_REST_MS };
+const FAILED_ATTEMPT: OrderAttempt = {
+  isPending: false,
+  delayMs: FAILED_RETRY_MS,
+};
 
-/** Takes the lease and tries to order the changes, all at once. */
-async function act(
-  source: StageLoopSource,
+/** Acquires the lease and orders all changes concurrently. */
+async function orderChanges(
+  options: StageLoopOptions,
   service: Service,
   changes: readonly StageChange[],
-): Promise<Try[]> {
-  const { context, store, holder, guardMs } = source;
+): Promise<OrderAttempt[]> {
+  const { context, store, holder, guardMs } = options;
   const { clock, events, suspensions, eras } = context;
-  const suspended = suspensions.check();
+  const suspensionCount = suspensions.check();
   const lease = await within({
     clock,
     timeoutMs: STORE_TIMEOUT_MS,
     work: (signal) =>
-      takeLease({ store, clock, holder, guardMs, eras }, service.name, signal),
+      acquireLease(
+        { store, clock, holder, guardMs, eras },
+        service.name,
+        signal,
+      ),
     onFault: (reason) => events.note("callFailed", { call: "lease", reason }),
   });
-  if (!lease) return [FAILED_TRY];
+  if (!lease) return [FAILED_ATTEMPT];
   return await Promise.all(
     changes.map((change) =>
-      tryChange(source, { service, change, lease, suspended })
+      attemptChange(options, { service, change, lease, suspensionCount })
     ),
   );
 }
 
-type Wanted = {
+type PlannedOrder = {
   readonly service: Service;
   readonly change: StageChange;
   readonly lease: Lease;
-  /** Suspensions of this host before it took the lease. */
-  readonly suspended: number;
+  /** Number of suspensions of this host before it acquired the lease. */
+  readonly suspensionCount: number;
 };
 
-/** The replica takes no new work while its change may be under way. */
-async function tryChange(
-  source: StageLoopSource,
-  wanted: Wanted,
-): Promise<Try> {
-  const { context: { clock }, changing } = source;
-  const { replica: { incarnation }, stage } = wanted.change;
+/** Orders a change and keeps new work from the replica while it is pending. */
+async function attemptChange(
+  options: StageLoopOptions,
+  order: PlannedOrder,
+): Promise<OrderAttempt> {
+  const { context: { clock }, changing } = options;
+  const { replica: { incarnation }, stage } = order.change;
   changing.set(incarnation, stage);
-  const tried = await orderChange(source, wanted);
-  if (!tried.taken) changing.delete(incarnation);
-  else clock.after(tried.restMs, () => changing.delete(incarnation));
-  return tried;
+  const attempt = await orderChange(options, order);
+  if (!attempt.isPending) changing.delete(incarnation);
+  else clock.after(attempt.delayMs, () => changing.delete(incarnation));
+  return attempt;
 }
 
 async function orderChange(
-  source: StageLoopSource,
-  { service, change, lease, suspended }: Wanted,
-): Promise<Try> {
-  const { context } = source;
+  options: StageLoopOptions,
+  { service, change, lease, suspensionCount }: PlannedOrder,
+): Promise<OrderAttempt> {
+  const { context } = options;
   const { dialect, clock } = context;
-  const place = change.replica;
-  const replica = context.replicas.get(place.incarnation);
-  if (!replica || context.gate.obstacle(replica)) return FAILED_TRY;
-  const told = await callEngine(context, place, {
+  const entry = change.replica;
+  const replica = context.replicas.get(entry.incarnation);
+  if (!replica || context.gate.obstacle(replica)) return FAILED_ATTEMPT;
+  const answer = await callEngine(context, entry, {
     call: dialect.report,
     timeoutMs: CALL_TIMEOUT_MS,
   });
-  const report = told && dialect.readReport(told.body);
-  if (!report || report.changing) return FAILED_TRY;
-  if (report.stage === change.stage) return FAILED_TRY;
-  if (clock.now() >= lease.until) return FAILED_TRY;
-  // The store came back from a copy that may lack it: another may take it, too.
-  if (context.eras.era !== lease.era) return FAILED_TRY;
-  // By the time that passed while this host slept the lease may have ended.
-  if (context.suspensions.check() !== suspended) return FAILED_TRY;
-  const outcome = await order(source, change, {
+  const report = answer && dialect.readReport(answer.body);
+  if (!report || report.changing) return FAILED_ATTEMPT;
+  if (report.stage === change.stage) return FAILED_ATTEMPT;
+  if (clock.now() >= lease.until) return FAILED_ATTEMPT;
+  // The store was restored from a copy that may lack the lease.
+  if (context.eras.era !== lease.era) return FAILED_ATTEMPT;
+  // The lease may have expired while this host was suspended.
+  if (context.suspensions.check() !== suspensionCount) return FAILED_ATTEMPT;
+  const outcome = await sendOrder(options, change, {
     lease,
     ifOrders: report.orders,
   });
   context.events.note("stageOrdered", {
     service: service.name,
-    replica: place.incarnation,
+    replica: entry.incarnation,
     stage: change.stage,
     fence: lease.fence,
     outcome: outcome ?? "unknown",
   });
   const switchMs = service.engine?.switchMs ?? 0;
   if (outcome === OrderOutcome.taken) {
-    return { taken: true, restMs: switchMs + DRAIN_MS };
+    return { isPending: true, delayMs: switchMs + DRAIN_MS };
   }
-  if (outcome !== undefined) return FAILED_TRY;
-  return { taken: true, restMs: LATE_ORDER_MS + switchMs };
+  if (outcome !== undefined) return FAILED_ATTEMPT;
+  return { isPending: true, delayMs: MAX_ORDER_DELAY_MS + switchMs };
 }
 
-async function order(
-  source: StageLoopSource,
+async function sendOrder(
+  options: StageLoopOptions,
   change: StageChange,
-  right: { readonly lease: Lease; readonly ifOrders: number },
+  condition: { readonly lease: Lease; readonly ifOrders: number },
 ): Promise<OrderOutcome | undefined> {
-  const { context } = source;
+  const { context } = options;
   const { dialect, metrics } = context;
   const call = dialect.orderStage({
     replica: change.replica.id,
     stage: change.stage,
-    holder: right.lease.holder,
-    fence: right.lease.fence,
-    ifOrders: right.ifOrders,
+    holder: condition.lease.holder,
+    fence: condition.lease.fence,
+    ifOrders: condition.ifOrders,
   });
   metrics.count("stage_orders");
   const timeoutMs = CALL_TIMEOUT_MS;
--- a/test/gateway/stages/stage_loop_test.ts
+++ b/test/gateway/stages/stage_loop_test.ts
@@ -1,4 +1,4 @@
-/** Orders to change a stage: none twice, and none for a replica in doubt. */
+/** Orders of stage changes: none is sent twice or while one may be pending. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { GatewayContext } from "../../../src/gateway/context.ts";
@@ -18,13 +18,13 @@
 import { quietEras } from "../quiet_eras.ts";
 
 const SWITCH_MS = 6000;
-/** An order without an answer may be carried out so much later. */
-const LATE_MS = 12_000;
+/** How late a replica may carry out an order that it did not answer. */
+const MAX_ORDER_DELAY_MS = 12_000;
 const STEP_MS = 100;
 
 type Timer = { readonly at: number; readonly work: () => void };
 
-/** A clock that moves in steps, and lets promises settle between them. */
+/** A clock that advances in steps and lets promises settle in between. */
 function makeTime() {
   const timers = new Set<Timer>();
   const time = { now: 0 };
@@ -36,7 +36,7 @@
       return () => void timers.delete(timer);
     },
   };
-  const pass = async (forMs: number) => {
+  const advance = async (forMs: number) => {
     for (const end = time.now + forMs; time.now < end;) {
       time.now += STEP_MS;
       for (const timer of [...timers]) {
@@ -46,21 +46,21 @@
       for (let turn = 0; turn < 30; turn++) await Promise.resolve();
     }
   };
-  return { clock, pass };
+  return { clock, advance };
 }
 
 function engine(incarnation: string, stage: ReplicaStage): ReplicaEntry {
   return replicaEntry(incarnation, { stage });
 }
 
-/** Six engines that all read prompts; a third would be enough. */
+/** Starts the loop with six prefill replicas where two are desired. */
 function start(orderStatus: number | undefined) {
-  const { clock, pass } = makeTime();
+  const { clock, advance } = makeTime();
   const orders: string[] = [];
   const changing = new Map<string, ReplicaStage>();
   const replicas = new ReplicaTable();
-  const entries = ["a", "b", "c", "d", "e", "f"].map((one) =>
-    engine(one, ReplicaStage.prefill)
+  const entries = ["a", "b", "c", "d", "e", "f"].map((incarnation) =>
+    engine(incarnation, ReplicaStage.prefill)
   );
   replicas.adopt({ revision: 1, entries });
   const report = { method: "GET" as const, path: "/report" };
@@ -115,21 +115,21 @@
     loadOf: () => ({ prefill: 0, decode: 0 }),
     changing,
   });
-  return { pass, orders, changing };
+  return { advance, orders, changing };
 }
 
-test("before the first traffic all changes are ordered at once, none twice", async () => {
-  const { pass, orders } = start(202);
-  await pass(10_000);
+test("before the first traffic all changes are ordered at once and none twice", async () => {
+  const { advance, orders } = start(202);
+  await advance(10_000);
   assert.equal(orders.length, 4);
   assert.equal(new Set(orders).size, 4);
 });
 
-test("a replica whose order got no answer stays out while it may be late", async () => {
-  const { pass, orders, changing } = start(undefined);
-  await pass(3000);
+test("a replica that did not answer an order gets no work while it may still carry it out", async () => {
+  const { advance, orders, changing } = start(undefined);
+  await advance(3000);
   assert.equal(orders.length, 4);
-  await pass(LATE_MS + SWITCH_MS - 3000);
+  await advance(MAX_ORDER_DELAY_MS + SWITCH_MS - 3000);
   assert.deepEqual([...changing.keys()].sort(), [...orders].sort());
   assert.equal(orders.length, 4);
 });
--- a/test/gateway/stages/stages_test.ts
+++ b/test/gateway/stages/stages_test.ts
@@ -1,4 +1,4 @@
-/** Changes of stage: which, when, and under whose lease. */
+/** The choice and timing of stage changes, and the lease for them. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import fc from "fast-check";
@@ -7,12 +7,12 @@
 import type { Clock } from "../../../src/gateway/clock.ts";
 import type { RowWritten, Store, StoreRow } from "../../../src/gateway/port.ts";
 import {
-  ChangePatience,
-  SmoothLoad,
-  wantedChange,
-  wantedChanges,
+  ChangeDebounce,
+  desiredChange,
+  desiredChanges,
+  SmoothedLoad,
 } from "../../../src/gateway/stages/balance.ts";
-import { isFree, takeLease } from "../../../src/gateway/stages/lease.ts";
+import { acquireLease, isFree } from "../../../src/gateway/stages/lease.ts";
 import { replicaEntry } from "../replica_entry.ts";
 import { quietEras } from "../quiet_eras.ts";
 
@@ -24,7 +24,7 @@
   return replicaEntry(incarnation, { stage, hall });
 }
 
-test("at rest, changes lead near the share and then stop, both stages kept", () => {
+test("without traffic, changes reach the share, stop and keep both stages", () => {
   const sides = fc.array(fc.boolean(), { minLength: 2, maxLength: 30 });
   const shares = fc.double({ min: 0.05, max: 0.95, noNaN: true });
   fc.assert(fc.property(sides, shares, (stages, share) => {
@@ -33,14 +33,16 @@
     );
     const both = new Set(stages).size === 2;
     for (let step = 0; step <= replicas.length; step++) {
-      const change = wantedChange(replicas, share, undefined);
+      const change = desiredChange(replicas, share, undefined);
       if (!change) break;
       assert.notEqual(change.replica.stage, change.stage);
       const at = replicas.indexOf(change.replica);
       replicas[at] = { ...change.replica, stage: change.stage };
     }
-    assert.equal(wantedChange(replicas, share, undefined), undefined);
-    const prefills = replicas.filter((one) => one.stage === "prefill").length;
+    assert.equal(desiredChange(replicas, share, undefined), undefined);
+    const prefills = replicas.filter((replica) =>
+      replica.stage === "prefill"
+    ).length;
     const off = Math.abs(prefills - replicas.length * share);
     const atEdge = prefills === 1 || prefills === replicas.length - 1;
     assert.ok(off <= 0.75 || atEdge || !both);
@@ -48,7 +50,7 @@
   }));
 });
 
-test("under traffic a change also needs a stage that is short", () => {
+test("under traffic a change also requires a stage that is short of replicas", () => {
   const replicas = [
     replica("a", "prefill", "one"),
     replica("b", "prefill", "two"),
@@ -58,38 +60,38 @@
   ];
   const calm = { prefill: 0.1, decode: 0.3 };
   const full = { prefill: 0.1, decode: 0.9 };
-  assert.equal(wantedChange(replicas, 0.2, calm), undefined);
-  assert.equal(wantedChange(replicas, 0.2, full)?.stage, "decode");
-  assert.equal(wantedChange(replicas, 0.8, full), undefined);
+  assert.equal(desiredChange(replicas, 0.2, calm), undefined);
+  assert.equal(desiredChange(replicas, 0.2, full)?.stage, "decode");
+  assert.equal(desiredChange(replicas, 0.8, full), undefined);
   const busy = { prefill: 0.9, decode: 0.3 };
-  assert.equal(wantedChange(replicas, 0.8, busy)?.stage, "prefill");
+  assert.equal(desiredChange(replicas, 0.8, busy)?.stage, "prefill");
 });
 
-test("at rest all changes are wanted at once, under traffic a few", () => {
+test("all changes are desired at once without traffic, and a few under traffic", () => {
   const replicas = Array.from(
     { length: 60 },
     (_, at) =>
       replica(`r${at}`, at % 3 === 0 ? "prefill" : "decode", `h${at % 4}`),
   );
-  const all = wantedChanges(replicas, 0.2, undefined);
-  assert.equal(new Set(all.map((one) => one.replica)).size, all.length);
+  const all = desiredChanges(replicas, 0.2, undefined);
+  assert.equal(new Set(all.map((change) => change.replica)).size, all.length);
   const prefills = 20 - all.length;
   assert.ok(Math.abs(prefills - 60 * 0.2) <= 0.75);
   const full = { prefill: 0.1, decode: 0.9 };
-  assert.equal(wantedChanges(replicas, 0.2, full).length, 3);
-  assert.deepEqual(wantedChanges([], 0.2, undefined), []);
+  assert.equal(desiredChanges(replicas, 0.2, full).length, 3);
+  assert.deepEqual(desiredChanges([], 0.2, undefined), []);
 });
 
-test("the load is smoothed and starts with the first traffic", () => {
-  const smooth = new SmoothLoad();
-  smooth.add({ prefill: 0, decode: 0 });
-  assert.equal(smooth.load, undefined);
-  smooth.add({ prefill: 1, decode: 0.5 });
-  smooth.add({ prefill: 0, decode: 0.5 });
-  assert.deepEqual(smooth.load, { prefill: 0.9, decode: 0.5 });
+test("the load is smoothed from the first traffic on", () => {
+  const smoothed = new SmoothedLoad();
+  smoothed.add({ prefill: 0, decode: 0 });
+  assert.equal(smoothed.load, undefined);
+  smoothed.add({ prefill: 1, decode: 0.5 });
+  smoothed.add({ prefill: 0, decode: 0.5 });
+  assert.deepEqual(smoothed.load, { prefill: 0.9, decode: 0.5 });
 });
 
-test("the hall with most replicas of the stage gives first", () => {
+test("the replica to change comes from the hall with the most replicas of its stage", () => {
   const replicas = [
     replica("a", "prefill", "one"),
     replica("b", "prefill", "two"),
@@ -97,21 +99,21 @@
     replica("d", "decode", "one"),
     replica("e", "decode", "one"),
   ];
-  assert.equal(wantedChange(replicas, 0.4, undefined)?.replica.hall, "two");
+  assert.equal(desiredChange(replicas, 0.4, undefined)?.replica.hall, "two");
 });
 
-test("a change must be wanted for a while, and rests after one", () => {
-  const patience = new ChangePatience();
-  assert.equal(patience.ripe(true, 1000, 0), false);
-  assert.equal(patience.ripe(false, 1000, 500), false);
-  assert.equal(patience.ripe(true, 1000, 600), false);
-  assert.equal(patience.ripe(true, 1000, 1600), true);
-  patience.rest(5000);
-  assert.equal(patience.ripe(true, 1000, 4000), false);
-  assert.equal(patience.ripe(true, 1000, 5000), true);
+test("a change must be desired for some time and is suspended after an order", () => {
+  const debounce = new ChangeDebounce();
+  assert.equal(debounce.isDue(true, 1000, 0), false);
+  assert.equal(debounce.isDue(false, 1000, 500), false);
+  assert.equal(debounce.isDue(true, 1000, 600), false);
+  assert.equal(debounce.isDue(true, 1000, 1600), true);
+  debounce.suspendUntil(5000);
+  assert.equal(debounce.isDue(true, 1000, 4000), false);
+  assert.equal(debounce.isDue(true, 1000, 5000), true);
 });
 
-/** A store with one table, and the clock that it tells. */
+/** A store with one table and a settable clock. */
 function fakeStore(state: { now: number }): Store {
   let revision = 0;
   const rows = new Map<string, StoreRow>();
@@ -124,8 +126,8 @@
     readRows: () =>
       Promise.resolve({ rows: [...rows.values()], nowMs: state.now }),
     writeRow: ({ key, value, ifRevision }): Promise<RowWritten> => {
-      const known = rows.get(key)?.revision ?? 0;
-      if (ifRevision !== undefined && ifRevision !== known) {
+      const currentRevision = rows.get(key)?.revision ?? 0;
+      if (ifRevision !== undefined && ifRevision !== currentRevision) {
         return Promise.resolve({ type: "conflict" });
       }
       revision += 1;
@@ -139,26 +141,26 @@
   return { now: () => state.now, after: () => () => undefined };
 }
 
-test("two holders never hold within the guard time, fences only rise", async () => {
+test("the leases of two holders are a guard time apart and fencing tokens rise", async () => {
   const state = { now: 0 };
   const store = fakeStore(state);
   const signal = new AbortController().signal;
   const clock = clockAt(state);
   const eras = quietEras();
-  const take = (holder: string) =>
-    takeLease({ store, clock, holder, guardMs: 3000, eras }, "s", signal);
-  const first = await take("a");
+  const acquire = (holder: string) =>
+    acquireLease({ store, clock, holder, guardMs: 3000, eras }, "s", signal);
+  const first = await acquire("a");
   assert.ok(first);
-  assert.equal(await take("b"), undefined);
+  assert.equal(await acquire("b"), undefined);
   state.now = first.until + 2999;
-  assert.equal(await take("b"), undefined);
+  assert.equal(await acquire("b"), undefined);
   state.now = first.until + 3001;
-  const second = await take("b");
+  const second = await acquire("b");
   assert.ok(second && second.fence > first.fence);
-  assert.equal(await take("a"), undefined);
+  assert.equal(await acquire("a"), undefined);
 });
 
-test("of two that ask at the same moment one gets the lease", async () => {
+test("one of two simultaneous requesters gets the lease", async () => {
   const state = { now: 0 };
   const store = fakeStore(state);
   const signal = new AbortController().signal;
@@ -166,15 +168,15 @@
   const eras = quietEras();
   const both = await Promise.all(
     ["a", "b"].map((holder) =>
-      takeLease({ store, clock, holder, guardMs: 3000, eras }, "s", signal)
+      acquireLease({ store, clock, holder, guardMs: 3000, eras }, "s", signal)
     ),
   );
-  assert.equal(both.filter((one) => one !== undefined).length, 1);
+  assert.equal(both.filter((lease) => lease !== undefined).length, 1);
 });
 
-test("a row that nobody can read gives way", () => {
+test("an unreadable row does not block the lease", () => {
   const row = { key: "s", value: "?", revision: 3 };
   const era = { era: 0, eraAgeMs: Infinity };
-  const asker = { holder: "a", guardMs: 1, nowMs: 0, ...era };
-  assert.equal(isFree(row, asker), true);
+  const requester = { holder: "a", guardMs: 1, nowMs: 0, ...era };
+  assert.equal(isFree(row, requester), true);
 });
