--- a/test/gateway/requests/answers_test.ts
+++ b/test/gateway/requests/answers_test.ts
@@ -133,8 +133,8 @@
       socket.write(whole(request, "first"));
       return;
     }
-    const late = new Map(request.headers).set("x-id", "1");
-    socket.write(whole({ ...request, headers: late }, "surplus"));
+    const otherHeaders = new Map(request.headers).set("x-id", "1");
+    socket.write(whole({ ...request, headers: otherHeaders }, "surplus"));
   };
   const route = { kind: RouteKind.unsafe, attempts: 1 };
   await withRig({ route, replicas: [{ answer: surplus }] }, async (rig) => {
--- a/test/gateway/requests/backoff_engine_test.ts
+++ b/test/gateway/requests/backoff_engine_test.ts
@@ -24,7 +24,7 @@
 const STREAM = { "x-tokens": "10,10" };
 
 test("a stream is not resumed at a replica that backs off", async () => {
-  const cuts: RawAnswer = answersEngineCalls((request, socket) => {
+  const interrupts: RawAnswer = answersEngineCalls((request, socket) => {
     socket.end(chunkedHead(request) + chunk("id: 0\n\n"));
   });
   await withRig({
@@ -36,7 +36,7 @@
         answer: answersEngineCalls(rejectsWithBackoff(LONG_BACKOFF_MS)),
         stage: ReplicaStage.decode,
       },
-      { answer: cuts, stage: ReplicaStage.decode },
+      { answer: interrupts, stage: ReplicaStage.decode },
     ],
   }, async (rig) => {
     await statuses(rig, 6, { ...STREAM, "x-patience": "1500" });
--- a/test/gateway/requests/backoff_test.ts
+++ b/test/gateway/requests/backoff_test.ts
@@ -90,8 +90,8 @@
 
 test("a retry is not sent to a replica that backs off", async () => {
   const fails: RawAnswer = (request, socket) => {
-    const head = whole(request, "x").replace("200 OK", "500 Failed");
-    socket.write(head);
+    const text = whole(request, "x").replace("200 OK", "500 Failed");
+    socket.write(text);
   };
   const replicas = [{ answer: rejectsWithBackoff(LONG_BACKOFF_MS) }, {
     answer: fails,
@@ -105,9 +105,9 @@
 
 test("after a backoff one request tries the replica while others go elsewhere", async () => {
   let hasBackedOff = false;
-  const held: (() => void)[] = [];
+  const pending: (() => void)[] = [];
   const hangs: RawAnswer = (request, socket) => {
-    if (hasBackedOff) return void held.push(() => healthy(request, socket));
+    if (hasBackedOff) return void pending.push(() => healthy(request, socket));
     hasBackedOff = true;
     rejectsWithBackoff(1000)(request, socket);
   };
@@ -124,7 +124,7 @@
     );
     assert.ok(others.every((response) => response.status === 200));
     assert.equal(requestsAt(rig, 0), 2);
-    for (const answer of held) answer();
+    for (const answer of pending) answer();
     assert.equal((await tries).status, 200);
   });
 });
--- a/test/gateway/requests/leaving_test.ts
+++ b/test/gateway/requests/leaving_test.ts
@@ -48,8 +48,8 @@
 for (const status of ["404 Missing", "500 Failed", "503 Full"]) {
   test(`a response with status ${status} also closes its draining replica`, async () => {
     const fails: RawAnswer = (request, socket) => {
-      const head = whole(request, "x", DRAINING).replace("200 OK", status);
-      socket.write(head);
+      const text = whole(request, "x", DRAINING).replace("200 OK", status);
+      socket.write(text);
     };
     const replicas = [{ answer: fails }, { answer: healthy }];
     const route = { kind: "safe", attempts: 4 } as const;
@@ -62,8 +62,8 @@
 
 test("notices from another replica at the address close no replica", async () => {
   const misdirected: RawAnswer = (request, socket) => {
-    const head = whole(request, "x", [...DRAINING, "x-backoff: 9000"]);
-    socket.write(head.replace("200 OK", "421 Misdirected"));
+    const text = whole(request, "x", [...DRAINING, "x-backoff: 9000"]);
+    socket.write(text.replace("200 OK", "421 Misdirected"));
   };
   const replicas = [{ answer: misdirected }, { answer: healthy }];
   await withRig({ budget: BUDGET, replicas }, async (rig) => {
@@ -74,11 +74,11 @@
 });
 
 test("a late response to another request closes its draining replica", async () => {
-  const crosses: RawAnswer = (request, socket) => {
-    const head = whole(request, "x", DRAINING);
-    socket.write(head.replace(/x-id: .*\r\n/, "x-id: other\r\n"));
+  const answersOther: RawAnswer = (request, socket) => {
+    const text = whole(request, "x", DRAINING);
+    socket.write(text.replace(/x-id: .*\r\n/, "x-id: other\r\n"));
   };
-  const replicas = [{ answer: crosses }, { answer: healthy }];
+  const replicas = [{ answer: answersOther }, { answer: healthy }];
   await withRig({ budget: BUDGET, replicas }, async (rig) => {
     await statuses(rig, 6);
     assert.equal(requestsAt(rig, 0), 1);
@@ -88,7 +88,7 @@
 const STREAM = { "x-tokens": "10,10" };
 
 test("a stream is not resumed at a draining replica", async () => {
-  const cuts: RawAnswer = answersEngineCalls((request, socket) => {
+  const interrupts: RawAnswer = answersEngineCalls((request, socket) => {
     socket.end(chunkedHead(request, DRAINING) + chunk("id: 0\n\n"));
   });
   await withRig({
@@ -96,7 +96,7 @@
     budget: BUDGET,
     route: { kind: "streaming", resumable: true, attempts: 4 },
     replicas: [
-      { answer: cuts, stage: ReplicaStage.decode },
+      { answer: interrupts, stage: ReplicaStage.decode },
       { answer: healthy, stage: ReplicaStage.decode },
     ],
   }, async (rig) => {
@@ -178,9 +178,9 @@
 });
 
 test("requests that wait for a connection are not sent once their replica drains", async () => {
-  const held: (() => void)[] = [];
+  const pending: (() => void)[] = [];
   const hangs: RawAnswer = (request, socket) => {
-    held.push(() => healthy(request, socket));
+    pending.push(() => healthy(request, socket));
   };
   await withRig({ replicas: [{ answer: hangs }] }, async (rig) => {
     // Five more requests than this host's share of the replica's connections.
@@ -191,7 +191,7 @@
     );
     await rig.arrived(share);
     rig.context.leaving.take(["r0"], undefined);
-    for (const answer of held) answer();
+    for (const answer of pending) answer();
     const responses = await Promise.all(calls);
     assert.equal(
       responses.filter((response) => response.status === 200).length,
--- a/test/gateway/requests/limits_test.ts
+++ b/test/gateway/requests/limits_test.ts
@@ -79,8 +79,8 @@
 
 test("a retry is not sent to a replica at its limit", async () => {
   const fails: RawAnswer = (request, socket) => {
-    const head = whole(request, "x").replace("200 OK", "500 Failed");
-    socket.write(head);
+    const text = whole(request, "x").replace("200 OK", "500 Failed");
+    socket.write(text);
   };
   const replicas = [{ answer: answersWithLimit(NO_CAPACITY) }, {
     answer: fails,
@@ -94,11 +94,11 @@
 });
 
 test("a stream is not resumed at a replica at its limit", async () => {
-  let cuts = 0;
-  const cuts20: RawAnswer = (request, socket) => {
+  let count = 0;
+  const interrupts20Times: RawAnswer = (request, socket) => {
     if (isReserve(request)) return healthy(request, socket);
-    cuts += 1;
-    if (cuts > 20) return void socket.write(whole(request, "id: 1\n\n"));
+    count += 1;
+    if (count > 20) return void socket.write(whole(request, "id: 1\n\n"));
     socket.end(chunkedHead(request) + chunk("id: 0\n\n"));
   };
   await withRig({
@@ -107,7 +107,7 @@
     route: { kind: "streaming", resumable: true, attempts: 4 },
     replicas: [
       { answer: answersWithLimit(NO_CAPACITY), stage: ReplicaStage.decode },
-      { answer: cuts20, stage: ReplicaStage.decode },
+      { answer: interrupts20Times, stage: ReplicaStage.decode },
     ],
   }, async (rig) => {
     const headers = { "x-tokens": "10,10", "x-patience": "1500" };
@@ -174,8 +174,8 @@
 test("a response to another request does not lift a limit", async () => {
   const answer: RawAnswer = (request, socket) => {
     if (request.number === 1) return answersWithLimit("50")(request, socket);
-    const head = whole(request, "x").replace(/x-id: .*\r\n/, "x-id: other\r\n");
-    socket.write(head);
+    const text = whole(request, "x").replace(/x-id: .*\r\n/, "x-id: other\r\n");
+    socket.write(text);
   };
   const route = { kind: "unsafe" } as const;
   let time = 0;
--- a/test/gateway/requests/notice_rig.ts
+++ b/test/gateway/requests/notice_rig.ts
@@ -26,8 +26,8 @@
   extra = ["x-not-run: 1"],
 ) {
   const answer: RawAnswer = (request, socket) => {
-    const head = whole(request, "", [...extra, `x-backoff: ${forMs}`]);
-    socket.write(head.replace("200 OK", "503 Full"));
+    const text = whole(request, "", [...extra, `x-backoff: ${forMs}`]);
+    socket.write(text.replace("200 OK", "503 Full"));
   };
   return answer;
 }
--- a/test/gateway/requests/restarted_replica_test.ts
+++ b/test/gateway/requests/restarted_replica_test.ts
@@ -82,8 +82,8 @@
   const answer: RawAnswer = (request, socket) => {
     if (request.number > 1) return void socket.write(whole(request, "answer"));
     const extra = ["x-not-run: 1", "x-leaving: 1", "x-backoff: 60000"];
-    const head = whole(request, "", extra);
-    socket.write(head.replace("200 OK", "503 Leaving"));
+    const text = whole(request, "", extra);
+    socket.write(text.replace("200 OK", "503 Leaving"));
   };
   await withRig({ replicas: [{ answer }] }, async (rig) => {
     assert.equal((await rig.call({ id: "first" })).status, 503);
