--- a/src/gateway/requests/engine_placement.ts
+++ b/src/gateway/requests/engine_placement.ts
@@ -16,7 +16,7 @@
 import { placementDeadline, placementRequestOf } from "./engine_request.ts";
 import { usableReplicas } from "./availability.ts";
 import { backoffRefusal, noteLimit, plannerRefusal } from "./refusals.ts";
-import { reservedTokens } from "./memory.ts";
+import { memoryTokens } from "./memory.ts";
 import type {
   Placement,
   PlacementConstraints,
@@ -91,10 +91,7 @@
       const prefillMs = await this.#prefill(reservation, assignment.prefill);
       const isLate = clock.now() > reservation.expiresAt - EXPIRY_MARGIN_MS;
       if (!isLate) {
-        return this.#createPlacement(reservation, permit, {
-          waitMs,
-          prefillMs,
-        });
+        return this.#buildPlacement(reservation, permit, { waitMs, prefillMs });
       }
       this.release();
     }
@@ -196,11 +193,7 @@
   async #reserve(replica: Replica): Promise<Reservation | undefined> {
     const { context, request, engine } = this.#options;
     const reservation = await acquireReservation(context, replica, {
-      tokens: reservedTokens(
-        request.facts,
-        engine,
-        context.tuning.outputMargin,
-      ),
+      tokens: memoryTokens(request.facts, engine, context.tuning.outputMargin),
       maxMs: engine.reservationMs,
     });
     if (typeof reservation === "string") {
@@ -251,7 +244,7 @@
     this.#permit = undefined;
   }
 
-  #createPlacement(
+  #buildPlacement(
     reservation: Reservation,
     permit: SendPermit,
     times: { readonly waitMs: Milliseconds; readonly prefillMs: Milliseconds },
--- a/src/gateway/requests/engine_request.ts
+++ b/src/gateway/requests/engine_request.ts
@@ -3,7 +3,7 @@
 import type { GatewayContext } from "../context.ts";
 import type { PlacementRequest } from "../planning/places.ts";
 import type { Engine } from "../routing/model.ts";
-import { reservedTokens } from "./memory.ts";
+import { memoryTokens } from "./memory.ts";
 import type { PlacementConstraints } from "./placement.ts";
 import type { GatewayRequest } from "./request.ts";
 
@@ -32,7 +32,7 @@
   return {
     id,
     service,
-    tokens: reservedTokens(facts, engine, context.tuning.outputMargin),
+    tokens: memoryTokens(facts, engine, context.tuning.outputMargin),
     promptTokens: facts.promptTokens,
     priority,
     dueAt: receivedAt + route.objectiveMs,
--- a/src/gateway/requests/memory.ts
+++ b/src/gateway/requests/memory.ts
@@ -6,7 +6,7 @@
 const DEFAULT_OUTPUT_SHARE = 0.6;
 
 /** Tokens to reserve for the prompt and the expected output. */
-export function reservedTokens(
+export function memoryTokens(
   facts: RequestFacts,
   engine: Engine,
   outputMargin: number,
