--- a/src/gateway/quota/bounds.ts
+++ b/src/gateway/quota/bounds.ts
@@ -1,10 +1,10 @@
-/** What all hosts together may take of an account. */
+/** Limits on what all hosts together may acquire from an account. */
 import type { Milliseconds } from "../../util/units.ts";
 
 /**
- * In any window, all hosts together let through no more than
- * (rate x window + burst) x (1 + overshoot) + tolerance. Settings of the
- * deployment.
+ * In any window, all hosts together admit no more than
+ * (rate x window + burst) x (1 + overshoot) + tolerance units. Set by the
+ * deployment's settings.
  */
 export type QuotaBounds = {
   readonly windowMs: Milliseconds;
@@ -20,39 +20,42 @@
 };
 
 /**
- * Part of the overshoot and the tolerance that is given out: requests reach
- * their owner with delays of their own, and none below the limit is to be
- * refused for that. The rest is for owners that change: when the fleet is split
- * an owner notices after 1.3 s that a part of its members has left.
+ * Share of the overshoot and the tolerance that owners grant, so that requests
+ * below the limit are not refused because their delays to the owner vary. The
+ * rest covers changes of ownership: after a network partition, an owner needs
+ * up to 1.3 s to detect that members are unreachable.
  */
-const SPARE_SHARE = 1 / 4;
+const GRANTED_MARGIN_SHARE = 1 / 4;
 
-/** What all hosts together give out in one window, in the quota's units. */
+/** Units that all owners together grant in one window. */
 export function windowLimitOf(rate: Rate, bounds: QuotaBounds): number {
   const { perSecond, burst } = rate;
   const { windowMs, overshoot, tolerance } = bounds;
   const inWindow = perSecond * windowMs / 1000 + burst;
-  return inWindow * (1 + overshoot * SPARE_SHARE) + tolerance * SPARE_SHARE;
+  return inWindow * (1 + overshoot * GRANTED_MARGIN_SHARE) +
+    tolerance * GRANTED_MARGIN_SHARE;
 }
 
-/** What an owner gives out of an account. */
+/** Units that an owner may grant from an account. */
 export type Allowance = {
-  /** In any span of `windowMs`. */
+  /** Maximum in any span of `windowMs`. */
   readonly units: number;
   readonly windowMs: Milliseconds;
 };
 
 /**
- * The allowance of an owner that is named by `share` of the hosts, from 0 to 1.
- * The allowances of all owners of an account add up to no more than one with
- * the whole.
+ * Computes the allowance of an owner that `share` of the hosts, from 0 to 1,
+ * have chosen. The allowances of all owners of an account must not add up to
+ * more than the allowance for a share of 1.
  */
 export type AllowanceRule = (
   account: { readonly name: string; readonly rate: Rate },
   share: number,
 ) => Allowance;
 
-/** Customers' quotas: the bounds' window, and the owner's part of the units. */
+/**
+ * The rule for customers' quotas: the window's limit times the owner's share.
+ */
 export function quotaRule(bounds: () => QuotaBounds): AllowanceRule {
   return ({ rate }, share) => ({
     units: windowLimitOf(rate, bounds()) * share,
--- a/src/gateway/quota/ledger.ts
+++ b/src/gateway/quota/ledger.ts
@@ -1,4 +1,6 @@
-/** What an owner has given out of the accounts that it owns. */
+/**
+ * Records what an owner has granted from its accounts, and decides on requests.
+ */
 import type { HostId } from "../../util/ids.ts";
 import type { Milliseconds } from "../../util/units.ts";
 import type { AllowanceRule, Rate } from "./bounds.ts";
@@ -7,49 +9,51 @@
 import { SHARD_COUNT, shardOf } from "./shards.ts";
 import { WindowLog } from "./window_log.ts";
 
-/** Idle customers are forgotten this often: they cost no memory. */
-const SWEEP_MS = 10_000;
+/** Interval at which idle accounts are removed. */
+const SWEEP_INTERVAL_MS = 10_000;
 /**
- * In a quarter of the window no more than this part of its limit is given out.
- * When most hosts are killed at once, what they took is forgotten: a customer
- * that has just taken all of its window would have it again from the others.
+ * At most this share of the window's limit is granted within
+ * {@link BURST_SPAN_SHARE} of the window. When most hosts are killed at once,
+ * their records are lost; without this cap, a customer that has just used its
+ * full limit could get it once more from the remaining hosts.
  */
 const BURST_SHARE = 0.45;
-const BURST_SPAN = 1 / 4;
-/** A refused caller comes back no sooner, in milliseconds. */
-const LEAST_RETRY_MS = 100;
+const BURST_SPAN_SHARE = 1 / 4;
+/** Lower bound of `retryAfterMs`. */
+const MIN_RETRY_MS = 100;
 /**
- * Told where this owner's part of the limit is too small for the request: the
- * fleet has changed, and within 1.3 s all its hosts name their owners anew.
+ * `retryAfterMs` when this owner's share of the limit is too small for the
+ * request. That happens after a change in the fleet; all hosts choose their
+ * owners again within 1.3 s.
  */
-const ALONE_RETRY_MS = 1000;
+const OWNER_CHANGE_RETRY_MS = 1000;
 
-/** Units asked for. */
+/** A request for units of an account. */
 export type QuotaTake = {
-  /** Names the account: a customer, or a replica by its incarnation. */
+  /** Name of the account: a customer, or the incarnation of a replica. */
   readonly customer: string;
   readonly units: number;
   readonly rate: Rate;
-  /** The configuration that has this rate. */
+  /** Version of the configuration that defines the rate. */
   readonly version: number;
-  /** How long they may be waited for. */
+  /** Longest time that the request may wait for its units. */
   readonly mostWaitMs: Milliseconds;
 };
 
-/** The units are taken, to be used after a wait, or they are not to be had. */
-export type Taken =
+/** An owner's decision: units granted for use after a wait, or a refusal. */
+export type QuotaDecision =
   | { readonly type: "granted"; readonly afterMs: Milliseconds }
   | { readonly type: "refused"; readonly retryAfterMs: Milliseconds };
 
-/** What a ledger is made from. */
-export type QuotaLedgerSource = {
+/** Options of {@link QuotaLedger}. */
+export type QuotaLedgerOptions = {
   readonly allowance: AllowanceRule;
   /**
-   * What was taken longer ago is not told to a new owner; a host that has run
-   * for less may have forgotten what its earlier process took.
+   * Time for which members retain what they acquired, to report it to a new
+   * owner. A host that has run for less counts only in part.
    */
   readonly memoryMs: () => Milliseconds;
-  /** Hosts of the fleet, this one included. */
+  /** Number of hosts in the fleet, including this one. */
   readonly knownHosts: () => number;
 };
 
@@ -57,7 +61,7 @@
   readonly log: WindowLog;
   rate: Rate;
   version: number;
-  /** Of the last allowance. */
+  /** Window of the last allowance. */
   windowMs: Milliseconds;
 };
 
@@ -66,26 +70,28 @@
   readonly accounts: Map<string, Account>;
 };
 
-/** The quotas that this host owns; needs no network and no clock. */
+/** The accounts that this host owns, without network access or timers. */
 export class QuotaLedger {
-  readonly #source: QuotaLedgerSource;
+  readonly #options: QuotaLedgerOptions;
   readonly #shards: readonly Shard[];
   #sweptAt: Milliseconds = 0;
 
-  constructor(source: QuotaLedgerSource) {
-    this.#source = source;
+  constructor(options: QuotaLedgerOptions) {
+    this.#options = options;
     this.#shards = Array.from({ length: SHARD_COUNT }, () => ({
       coverage: new Coverage(),
       accounts: new Map(),
     }));
   }
 
-  /** Customers of whom something is kept. */
+  /** Number of accounts on record. */
   get size(): number {
-    return this.#shards.reduce((sum, one) => sum + one.accounts.size, 0);
+    return this.#shards.reduce((sum, shard) => sum + shard.accounts.size, 0);
   }
 
-  /** A host takes the quotas of just these shards from this one. */
+  /**
+   * Applies the report of a host: its shards, and what it acquired elsewhere.
+   */
   setMember(
     host: HostId,
     { shards, upMs, usage }: Omit<QuotaMembership, "type">,
@@ -101,51 +107,55 @@
     }
   }
 
-  /** A host is out of touch. */
-  lose(host: HostId, now: Milliseconds): void {
+  /** Removes an unreachable host from all shards. */
+  removeMember(host: HostId, now: Milliseconds): void {
     this.setMember(host, { shards: [], upMs: 0, usage: [] }, now);
   }
 
-  /** Takes units of a customer's quota, ahead of time if the wait is short. */
-  take(take: QuotaTake, now: Milliseconds): Taken {
+  /** Grants units, in advance if they are available within `mostWaitMs`. */
+  take(request: QuotaTake, now: Milliseconds): QuotaDecision {
     this.#sweep(now);
-    const { customer, units, mostWaitMs } = take;
-    const account = this.#accountFor(customer, take);
+    const { customer, units, mostWaitMs } = request;
+    const account = this.#accountFor(customer, request);
     const { log, rate } = account;
     const share = this.#shareOf(this.#shardOf(customer).coverage, now);
-    const named = { name: customer, rate };
-    const allowance = this.#source.allowance(named, share);
+    const rated = { name: customer, rate };
+    const allowance = this.#options.allowance(rated, share);
     const { windowMs } = allowance;
     account.windowMs = windowMs;
     log.expire(now, windowMs);
-    const freeAt = Math.max(
-      log.roomAt(units, { limit: allowance.units, spanMs: windowMs, now }),
-      log.roomAt(units, {
+    const availableAt = Math.max(
+      log.availableAt(units, { limit: allowance.units, spanMs: windowMs, now }),
+      log.availableAt(units, {
         limit: Math.max(units, allowance.units * BURST_SHARE),
-        spanMs: windowMs * BURST_SPAN,
+        spanMs: windowMs * BURST_SPAN_SHARE,
         now,
       }),
     );
-    const afterMs: Milliseconds = freeAt - now;
+    const afterMs: Milliseconds = availableAt - now;
     if (afterMs > mostWaitMs) {
-      const known = Number.isFinite(afterMs) ? afterMs : ALONE_RETRY_MS;
-      return { type: "refused", retryAfterMs: Math.max(LEAST_RETRY_MS, known) };
+      const retryMs = Number.isFinite(afterMs)
+        ? afterMs
+        : OWNER_CHANGE_RETRY_MS;
+      return { type: "refused", retryAfterMs: Math.max(MIN_RETRY_MS, retryMs) };
     }
-    log.add(units, freeAt);
+    log.add(units, availableAt);
     return { type: "granted", afterMs };
   }
 
-  /** Units that were taken so long ago were not used. */
-  giveBack(
-    given: {
+  /** Releases units that were acquired `agoMs` ago and not used. */
+  release(
+    released: {
       readonly customer: string;
       readonly units: number;
       readonly agoMs: Milliseconds;
     },
     now: Milliseconds,
   ): void {
-    const account = this.#shardOf(given.customer).accounts.get(given.customer);
-    account?.log.remove(given.units, now - given.agoMs);
+    const account = this.#shardOf(released.customer).accounts.get(
+      released.customer,
+    );
+    account?.log.remove(released.units, now - released.agoMs);
   }
 
   #shardOf(customer: string): Shard {
@@ -155,12 +165,12 @@
   }
 
   #shareOf(coverage: Coverage, now: Milliseconds): number {
-    const hosts = this.#source.knownHosts();
-    const windowMs = this.#source.memoryMs();
+    const hosts = this.#options.knownHosts();
+    const windowMs = this.#options.memoryMs();
     return coverage.shareAt(now, { hosts, windowMs });
   }
 
-  /** The account, with the rate of the newest configuration heard of. */
+  /** The account, with the rate of the newest configuration observed. */
   #accountFor(
     customer: string,
     { rate, version }: Pick<QuotaTake, "rate" | "version">,
@@ -168,7 +178,7 @@
     const { accounts } = this.#shardOf(customer);
     const known = accounts.get(customer);
     if (!known) {
-      const windowMs = this.#source.memoryMs();
+      const windowMs = this.#options.memoryMs();
       const account = { log: new WindowLog(), rate, version, windowMs };
       accounts.set(customer, account);
       return account;
@@ -181,7 +191,7 @@
   }
 
   #sweep(now: Milliseconds): void {
-    if (now - this.#sweptAt < SWEEP_MS) return;
+    if (now - this.#sweptAt < SWEEP_INTERVAL_MS) return;
     this.#sweptAt = now;
     for (const { accounts } of this.#shards) {
       for (const [customer, { log, windowMs }] of accounts) {
--- a/src/gateway/quota/member.ts
+++ b/src/gateway/quota/member.ts
@@ -1,7 +1,7 @@
 /**
- * Takes what this host's requests use of an account that all hosts share, a
- * customer's quota or a replica's limit, from its owner. The owner of a shard is
- * the first host in the shard's rendezvous order that answers.
+ * Acquires units for this host's requests from accounts that all hosts share: a
+ * customer's quota or a replica's limit. The owner of a shard is the first
+ * reachable host in the shard's rendezvous order.
  */
 import type { HallId, HostId } from "../../util/ids.ts";
 import type { Milliseconds } from "../../util/units.ts";
@@ -10,7 +10,7 @@
 import { HostOrders } from "../peers/host_order.ts";
 import type { Link, LinkEvents, LinkPath, LinkTarget } from "../peers/link.ts";
 import type { HostEntry } from "../port.ts";
-import type { QuotaTake, Taken } from "./ledger.ts";
+import type { QuotaDecision, QuotaTake } from "./ledger.ts";
 import {
   type MemberMessage,
   type OwnerMessage,
@@ -19,163 +19,169 @@
 import type { QuotaOwner } from "./owner.ts";
 import { orderKeyOf, SHARD_COUNT, shardOf } from "./shards.ts";
 import { Suspects } from "./suspects.ts";
-import { type Use, Uses } from "./uses.ts";
+import { type Acquisition, AcquisitionLog } from "./uses.ts";
 
 /**
- * An owner that does not answer for so long is left for the next one: some ten
- * times the way there and back, and longer than a host is without processor
- * when its share of a tenth of a second is used up.
+ * Time after which an owner that does not respond is replaced by the next one:
+ * about ten round trips, and longer than CPU throttling stalls a host (up to
+ * 100 ms).
  */
-const ANSWER_MS = 250;
-/** What has come while this host stood still is read within this time. */
-const READ_MS = 20;
-/** A request that three owners did not answer is refused. */
-const MOST_OWNERS = 3;
+const RESPONSE_TIMEOUT_MS = 250;
+/** Time to read responses that arrived while this host was stalled. */
+const READ_GRACE_MS = 20;
+/** Owners to try before the outcome of a request is unknown. */
+const MAX_OWNERS = 3;
 
-/** Makes a host tell its shards again: no list of them reads so. */
-const UNTOLD = "-";
-/** Units are had after a wait, refused, or nobody could tell. */
+/** Differs from every list of shards, so that the shards are reported again. */
+const NOT_REPORTED = "-";
+/** Outcome of a request for units; unknown if no owner responded. */
 export type QuotaOutcome =
-  | Extract<Taken, { type: "refused" }>
+  | Extract<QuotaDecision, { type: "refused" }>
   | { readonly type: "unknown" }
   | {
     readonly type: "granted";
-    /** The request goes on after this time. */
+    /** Delay before the units may be used. */
     readonly afterMs: Milliseconds;
-    /** The units were not used. */
+    /** Returns units that were not used. */
     giveBack(): void;
   };
 
-/** What a member is made from. */
-export type QuotaMemberSource = {
+/** Options of {@link QuotaMember}. */
+export type QuotaMemberOptions = {
   readonly self: { readonly id: HostId; readonly hall: HallId };
   readonly clock: Clock;
+  /** The owner in this process. */
   readonly own: QuotaOwner;
-  /** The other hosts; the same array while none changes. */
+  /** The other hosts; the same array as long as none changes. */
   readonly hosts: () => readonly HostEntry[];
-  /** What was taken longer ago is not told to a new owner. */
+  /** Time for which acquisitions are retained, to report them to new owners. */
   readonly memoryMs: () => Milliseconds;
-  /** The owners' links. */
+  /** Path of the links to owners. */
   readonly path: LinkPath;
-  /** An owner is out of reach. */
+  /** Called when the link to a connected owner has closed. */
   readonly noteLost: (owner: HostId) => void;
   /** Opens a link to an owner. */
   readonly openLink: (target: LinkTarget, events: LinkEvents) => Link;
 };
 
-type Asked = {
-  readonly take: QuotaTake;
+type PendingRequest = {
+  readonly request: QuotaTake;
   owner: HostId;
-  owners: number;
+  ownersTried: number;
   cancelTimer: () => void;
   resolve(outcome: QuotaOutcome): void;
 };
 
 type OwnerLink = {
   readonly link: Link;
-  /** The run of the owner; absent until it has answered. */
+  /** The run of the owner's process; absent until its hello has arrived. */
   run: string | undefined;
-  /** Shards last told to it, by their numbers. */
-  told: string;
+  /** Numbers of the shards last reported to the owner. */
+  reported: string;
 };
 
-/** This host's side of the quotas. */
+/** Requests units from owners, and chooses the owner of each shard. */
 export class QuotaMember {
-  readonly #source: QuotaMemberSource;
+  readonly #options: QuotaMemberOptions;
   readonly #orders: HostOrders;
-  readonly #asked = new Map<string, Asked>();
+  readonly #pending = new Map<string, PendingRequest>();
   readonly #links = new Map<HostId, OwnerLink>();
   readonly #suspects: Suspects;
-  readonly #owners = new Map<number, HostId>();
+  readonly #ownersByShard = new Map<number, HostId>();
   readonly #startedAt: Milliseconds;
-  readonly #uses = new Uses();
-  #toldSelf = "";
-  #count = 0;
+  readonly #acquisitions = new AcquisitionLog();
+  /** Numbers of the shards last reported to the owner in this process. */
+  #reportedToSelf = "";
+  #requestCount = 0;
 
-  constructor(source: QuotaMemberSource) {
-    this.#source = source;
-    this.#orders = new HostOrders(source.self.id);
-    this.#suspects = new Suspects(source.self.hall);
-    this.#startedAt = source.clock.now();
+  constructor(options: QuotaMemberOptions) {
+    this.#options = options;
+    this.#orders = new HostOrders(options.self.id);
+    this.#suspects = new Suspects(options.self.hall);
+    this.#startedAt = options.clock.now();
   }
 
-  /** Chooses the owners anew: hosts come, go, and are trusted again. */
+  /**
+   * Chooses the owner of each shard again. To be called periodically: hosts
+   * come and go, and suspects expire.
+   */
   refresh(): void {
     for (let shard = 0; shard < SHARD_COUNT; shard++) {
-      this.#owners.set(shard, this.#bestOwner(shard));
+      this.#ownersByShard.set(shard, this.#chooseOwner(shard));
     }
-    this.#tellShards();
+    this.#reportShards();
   }
 
-  /** Takes units for a request. */
-  take(take: QuotaTake): Promise<QuotaOutcome> {
-    this.#count += 1;
-    const id = String(this.#count);
+  /** Acquires units for a request. */
+  take(request: QuotaTake): Promise<QuotaOutcome> {
+    this.#requestCount += 1;
+    const id = String(this.#requestCount);
     return new Promise((resolve) => {
-      const owner = this.#ownerOf(take.customer);
+      const owner = this.#ownerOf(request.customer);
       const cancelTimer = () => undefined;
-      const asked = { take, owner, owners: 1, cancelTimer, resolve };
-      this.#asked.set(id, asked);
-      this.#ask(id, asked);
+      const pending = { request, owner, ownersTried: 1, cancelTimer, resolve };
+      this.#pending.set(id, pending);
+      this.#request(id, pending);
     });
   }
 
-  /** Units were taken at these times before there was an owner to ask. */
-  noteTaken(take: QuotaTake, times: readonly Milliseconds[]): void {
+  /** Records units that were used at these times without an owner's grant. */
+  noteTaken(request: QuotaTake, times: readonly Milliseconds[]): void {
     if (times.length === 0) return;
-    this.#uses.addUnknown(take, times);
-    this.#toldSelf = UNTOLD;
-    for (const known of this.#links.values()) known.told = UNTOLD;
-    this.#tellShards();
+    this.#acquisitions.addUnreported(request, times);
+    this.#reportedToSelf = NOT_REPORTED;
+    for (const link of this.#links.values()) link.reported = NOT_REPORTED;
+    this.#reportShards();
   }
 
-  /** Nobody is asked for a while: the links to owners are closed. */
+  /** Closes the links to owners until the next request or refresh. */
   idle(): void {
-    this.#owners.clear();
-    this.#toldSelf = UNTOLD;
+    this.#ownersByShard.clear();
+    this.#reportedToSelf = NOT_REPORTED;
     for (const [id, { link }] of this.#links) {
       this.#links.delete(id);
       link.close();
     }
-    for (const [id, asked] of this.#asked) this.#giveUp(id, asked);
+    for (const [id, pending] of this.#pending) this.#abandon(id, pending);
   }
 
   #ownerOf(customer: string): HostId {
     const shard = shardOf(customer);
-    const owner = this.#bestOwner(shard);
-    if (owner !== this.#owners.get(shard)) {
-      this.#owners.set(shard, owner);
-      this.#tellShards();
+    const owner = this.#chooseOwner(shard);
+    if (owner !== this.#ownersByShard.get(shard)) {
+      this.#ownersByShard.set(shard, owner);
+      this.#reportShards();
     }
     return owner;
   }
 
   /**
-   * The first host of the order that isn't suspect. While a link to it is
-   * being made, the owner so far stays; without one, requests wait for the link
-   * rather than go to a host that nobody else asks.
+   * The first host of the order that isn't suspect. While the link to it is
+   * being opened, the previous owner remains. Without a previous owner,
+   * requests wait for the link rather than go to a host that no other host has
+   * chosen.
    */
-  #bestOwner(shard: number): HostId {
-    const { self, clock, hosts: hostsOf } = this.#source;
+  #chooseOwner(shard: number): HostId {
+    const { self, clock, hosts: hostsOf } = this.#options;
     const hosts = hostsOf();
-    const cutHalls = this.#suspects.cutHalls(clock.now());
+    const unreachable = this.#suspects.unreachableHalls(clock.now());
     for (const id of this.#orders.of(orderKeyOf(shard), hosts)) {
       if (id === self.id) return id;
       if (this.#suspects.has(id)) continue;
-      const host = hosts.find((one) => one.id === id);
-      if (!host || cutHalls.has(host.hall)) continue;
+      const host = hosts.find((entry) => entry.id === id);
+      if (!host || unreachable.has(host.hall)) continue;
       const link = this.#links.get(id) ?? this.#open(host);
       if (link.run !== undefined) return id;
-      const before = this.#owners.get(shard);
-      const isStanding = before !== undefined && before !== id &&
-        (before === self.id || this.#links.get(before)?.run !== undefined);
-      return isStanding ? before : id;
+      const previous = this.#ownersByShard.get(shard);
+      const isConnected = previous !== undefined && previous !== id &&
+        (previous === self.id || this.#links.get(previous)?.run !== undefined);
+      return isConnected ? previous : id;
     }
     return self.id;
   }
 
   #open({ id, address, hall }: HostEntry): OwnerLink {
-    const { clock, self, openLink, path } = this.#source;
+    const { clock, self, openLink, path } = this.#options;
     const target = {
       address,
       path,
@@ -184,142 +190,149 @@
       isWatchful: true,
     };
     const link = openLink(target, {
-      line: (text) => this.#takeLine(id, text),
-      closed: () => this.#lost({ id, hall }, link),
+      line: (text) => this.#receiveLine(id, text),
+      closed: () => this.#noteDisconnected({ id, hall }, link),
     });
-    const opened = { link, run: undefined, told: "" };
+    const opened = { link, run: undefined, reported: "" };
     this.#links.set(id, opened);
     return opened;
   }
 
-  #stands(id: HostId, run: string): void {
-    const known = this.#links.get(id);
-    if (!known) return;
-    known.run = run;
+  #noteConnected(id: HostId, run: string): void {
+    const connected = this.#links.get(id);
+    if (!connected) return;
+    connected.run = run;
     this.refresh();
-    for (const [askedId, asked] of this.#asked) {
-      if (asked.owner === id) this.#sendTake(askedId, asked);
+    for (const [requestId, pending] of this.#pending) {
+      if (pending.owner === id) this.#sendRequest(requestId, pending);
     }
   }
 
-  #lost({ id, hall }: Pick<HostEntry, "id" | "hall">, link: Link): void {
-    const known = this.#links.get(id);
-    if (known?.link !== link) return;
-    const { clock, noteLost } = this.#source;
+  #noteDisconnected(
+    { id, hall }: Pick<HostEntry, "id" | "hall">,
+    link: Link,
+  ): void {
+    const closed = this.#links.get(id);
+    if (closed?.link !== link) return;
+    const { clock, noteLost } = this.#options;
     this.#links.delete(id);
     this.#suspects.add(id, hall, clock.now());
-    if (known.run !== undefined) noteLost(id);
+    if (closed.run !== undefined) noteLost(id);
     this.refresh();
-    for (const [askedId, asked] of this.#asked) {
-      if (asked.owner === id) this.#askNext(askedId, asked);
+    for (const [requestId, pending] of this.#pending) {
+      if (pending.owner === id) this.#tryNextOwner(requestId, pending);
     }
   }
 
-  #askNext(id: string, asked: Asked): void {
-    asked.cancelTimer();
-    if (asked.owners >= MOST_OWNERS) return this.#giveUp(id, asked);
-    asked.owners += 1;
-    asked.owner = this.#ownerOf(asked.take.customer);
-    this.#ask(id, asked);
+  #tryNextOwner(id: string, pending: PendingRequest): void {
+    pending.cancelTimer();
+    if (pending.ownersTried >= MAX_OWNERS) return this.#abandon(id, pending);
+    pending.ownersTried += 1;
+    pending.owner = this.#ownerOf(pending.request.customer);
+    this.#request(id, pending);
   }
 
-  #giveUp(id: string, asked: Asked): void {
-    this.#asked.delete(id);
-    asked.cancelTimer();
-    asked.resolve({ type: "unknown" });
+  #abandon(id: string, pending: PendingRequest): void {
+    this.#pending.delete(id);
+    pending.cancelTimer();
+    pending.resolve({ type: "unknown" });
   }
 
-  #ask(id: string, asked: Asked): void {
-    const { self, clock } = this.#source;
-    const { owner } = asked;
+  #request(id: string, pending: PendingRequest): void {
+    const { self, clock } = this.#options;
+    const { owner } = pending;
     const link = this.#links.get(owner);
     if (owner === self.id || link?.run !== undefined) {
-      this.#sendTake(id, asked);
+      this.#sendRequest(id, pending);
     }
     if (owner === self.id) return;
     const close = () => {
       const late = this.#links.get(owner)?.link;
-      if (this.#asked.get(id) === asked && late) late.close();
+      if (this.#pending.get(id) === pending && late) late.close();
     };
-    // If this host itself stood still, the answer may be there, unread.
-    asked.cancelTimer = clock.after(ANSWER_MS, () => {
-      asked.cancelTimer = clock.after(READ_MS, close);
+    // If this host was stalled, the response may have arrived, but unread.
+    pending.cancelTimer = clock.after(RESPONSE_TIMEOUT_MS, () => {
+      pending.cancelTimer = clock.after(READ_GRACE_MS, close);
     });
   }
 
-  #sendTake(id: string, { owner, take }: Asked): void {
-    this.#send(owner, { type: "take", id, ...take });
+  #sendRequest(id: string, { owner, request }: PendingRequest): void {
+    this.#send(owner, { type: "take", id, ...request });
   }
 
-  /** Tells each owner the shards that this host takes from it. */
-  #tellShards(): void {
-    const { self } = this.#source;
+  /** Sends each owner the shards for which this host requests units from it. */
+  #reportShards(): void {
+    const { self } = this.#options;
     const shardsOf = (owner: HostId) =>
-      [...this.#owners].filter(([, one]) => one === owner)
+      [...this.#ownersByShard].filter(([, id]) => id === owner)
         .map(([shard]) => shard);
-    const own = shardsOf(self.id);
-    if (own.join() !== this.#toldSelf) {
-      this.#toldSelf = own.join();
-      this.#send(self.id, this.#membership(own, this.#source.own.run));
+    const local = shardsOf(self.id);
+    if (local.join() !== this.#reportedToSelf) {
+      this.#reportedToSelf = local.join();
+      this.#send(self.id, this.#membership(local, this.#options.own.run));
     }
-    for (const [id, known] of this.#links) {
+    for (const [id, link] of this.#links) {
       const shards = shardsOf(id);
-      if (known.run === undefined || known.told === shards.join()) continue;
-      known.told = shards.join();
-      this.#send(id, this.#membership(shards, known.run));
+      if (link.run === undefined || link.reported === shards.join()) continue;
+      link.reported = shards.join();
+      this.#send(id, this.#membership(shards, link.run));
     }
   }
 
-  /** Names the owner of these shards, and tells it what others gave of them. */
+  /** The report of these shards, with what other owners granted from them. */
   #membership(shards: readonly number[], run: string): MemberMessage {
-    const { clock, memoryMs } = this.#source;
+    const { clock, memoryMs } = this.#options;
     const now = clock.now();
     const oldest = now - memoryMs();
-    const usage = this.#uses.newsFor({ run, shards }, { oldest, now });
+    const usage = this.#acquisitions.reportTo({ run, shards }, { oldest, now });
     const upMs: Milliseconds = now - this.#startedAt;
     return { type: "member", shards, upMs, usage };
   }
 
   #send(owner: HostId, message: MemberMessage): void {
-    const { self } = this.#source;
+    const { self } = this.#options;
     if (owner !== self.id) return this.#links.get(owner)?.link.send(message);
-    const answer = this.#source.own.take(self.id, message);
-    if (answer) this.#take(self.id, answer);
+    const reply = this.#options.own.handle(self.id, message);
+    if (reply) this.#receive(self.id, reply);
   }
 
-  #takeLine(from: HostId, text: string): void {
+  #receiveLine(from: HostId, text: string): void {
     const message = readJson(OwnerMessageSchema, text);
-    if (message) this.#take(from, message);
+    if (message) this.#receive(from, message);
   }
 
-  #take(from: HostId, message: OwnerMessage): void {
+  #receive(from: HostId, message: OwnerMessage): void {
     if (message.type === "ping") return;
-    if (message.type === "hello") return this.#stands(from, message.run);
+    if (message.type === "hello") return this.#noteConnected(from, message.run);
     const { id } = message;
-    const asked = this.#asked.get(id);
-    if (!asked || asked.owner !== from) return;
-    this.#asked.delete(id);
-    asked.cancelTimer();
-    if (message.type === "refused") return asked.resolve(message);
+    const pending = this.#pending.get(id);
+    if (!pending || pending.owner !== from) return;
+    this.#pending.delete(id);
+    pending.cancelTimer();
+    if (message.type === "refused") return pending.resolve(message);
     const { afterMs } = message;
-    const use = this.#noteUse(asked.take, from, afterMs);
-    const giveBack = () => this.#giveBack(use);
-    asked.resolve({ type: "granted", afterMs, giveBack });
+    const acquired = this.#noteAcquisition(pending.request, from, afterMs);
+    const giveBack = () => this.#release(acquired);
+    pending.resolve({ type: "granted", afterMs, giveBack });
   }
 
-  #noteUse(take: QuotaTake, owner: HostId, afterMs: Milliseconds): Use {
-    const { clock, self, own, memoryMs } = this.#source;
+  #noteAcquisition(
+    request: QuotaTake,
+    owner: HostId,
+    afterMs: Milliseconds,
+  ): Acquisition {
+    const { clock, self, own, memoryMs } = this.#options;
     const run = owner === self.id ? own.run : this.#links.get(owner)?.run;
     const now = clock.now();
-    const use = { take, at: now + afterMs, knownTo: new Set([run ?? ""]) };
-    this.#uses.add(use, now - memoryMs());
-    return use;
+    const entry = { request, at: now + afterMs, knownTo: new Set([run ?? ""]) };
+    this.#acquisitions.add(entry, now - memoryMs());
+    return entry;
   }
 
-  #giveBack(use: Use): void {
-    const { customer, units } = use.take;
-    this.#uses.remove(use);
-    const agoMs: Milliseconds = this.#source.clock.now() - use.at;
+  #release(acquired: Acquisition): void {
+    const { customer, units } = acquired.request;
+    this.#acquisitions.remove(acquired);
+    const agoMs: Milliseconds = this.#options.clock.now() - acquired.at;
     const owner = this.#ownerOf(customer);
     this.#send(owner, { type: "give-back", customer, units, agoMs });
   }
--- a/src/gateway/quota/messages.ts
+++ b/src/gateway/quota/messages.ts
@@ -1,4 +1,4 @@
-/** What hosts and the owners of quotas tell each other, as lines of JSON. */
+/** Messages between hosts and quota owners, sent as lines of JSON. */
 import * as z from "zod";
 
 const Rate = z.object({
@@ -6,23 +6,23 @@
   burst: z.number().min(0),
 });
 
-/** What a host took of a customer's quota, from another owner. */
+/** Units that a host acquired from another owner. */
 const Usage = z.object({
   customer: z.string(),
   units: z.number().min(0),
   agoMs: z.number(),
   rate: Rate,
-  /** The configuration that has this rate. */
+  /** Version of the configuration that defines the rate. */
   version: z.number(),
 });
 
 const Member = z.object({
   type: z.literal("member"),
-  /** The shards whose quotas the host takes from this owner, and no others. */
+  /** All shards for which the host requests quota from this owner. */
   shards: z.array(z.number()).readonly(),
-  /** How long the host's process has run. */
+  /** Uptime of the host's process. */
   upMs: z.number().min(0),
-  /** What it took within the last window and this owner doesn't know of. */
+  /** What it acquired in the last window and has not reported to this owner. */
   usage: z.array(Usage).readonly(),
 });
 
@@ -32,9 +32,9 @@
   customer: z.string(),
   units: z.number().min(0),
   rate: Rate,
-  /** The configuration that has this rate. */
+  /** Version of the configuration that defines the rate. */
   version: z.number(),
-  /** How long the request may wait for its units. */
+  /** Longest time that the request may wait for its units. */
   mostWaitMs: z.number(),
 });
 
@@ -42,53 +42,56 @@
   type: z.literal("give-back"),
   customer: z.string(),
   units: z.number().min(0),
-  /** How long ago they were taken. */
+  /** Time since they were acquired. */
   agoMs: z.number(),
 });
 
-/** The first line of an owner. */
+/** The first message that an owner sends on a link. */
 const Hello = z.object({
   type: z.literal("hello"),
-  /** Names the run of its process: another run knows nothing of this one. */
+  /**
+   * Identifies this run of the owner's process; its records are lost at its
+   * end.
+   */
   run: z.string(),
 });
 
 const Granted = z.object({
   type: z.literal("granted"),
   id: z.string(),
-  /** The request goes on after this time. */
+  /** Delay before the units may be used. */
   afterMs: z.number(),
 });
 
 const Refused = z.object({
   type: z.literal("refused"),
   id: z.string(),
-  /** The units may be had then. */
+  /** Time after which the units may be available. */
   retryAfterMs: z.number(),
 });
 
 const Ping = z.object({ type: z.literal("ping") });
 
-/** From a host to an owner. */
+/** Schema of the messages from a host to an owner. */
 export const MemberMessageSchema = z.discriminatedUnion("type", [
   Member,
   Take,
   GiveBack,
   Ping,
 ]);
-/** From a host to an owner. */
+/** A message from a host to an owner. */
 export type MemberMessage = z.output<typeof MemberMessageSchema>;
-/** A host names its owner. */
+/** The report of a host that has chosen this owner. */
 export type QuotaMembership = z.output<typeof Member>;
-/** What a host took of a customer's quota. */
+/** Units that a host acquired from another owner. */
 export type QuotaUsage = z.output<typeof Usage>;
 
-/** From an owner to a host. */
+/** Schema of the messages from an owner to a host. */
 export const OwnerMessageSchema = z.discriminatedUnion("type", [
   Hello,
   Granted,
   Refused,
   Ping,
 ]);
-/** From an owner to a host. */
+/** A message from an owner to a host. */
 export type OwnerMessage = z.output<typeof OwnerMessageSchema>;
--- a/src/gateway/quota/owner.ts
+++ b/src/gateway/quota/owner.ts
@@ -1,4 +1,6 @@
-/** This host as an owner of quotas, for itself and the hosts that link to it. */
+/**
+ * Serves quota requests of this host and of the hosts that open links to it.
+ */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { HostId } from "../../util/ids.ts";
 import { readJson } from "../../util/read_json.ts";
@@ -9,42 +11,42 @@
   LINK_HOST_HEADER,
   type LinkEvents,
 } from "../peers/link.ts";
-import { QuotaLedger, type QuotaLedgerSource } from "./ledger.ts";
+import { QuotaLedger, type QuotaLedgerOptions } from "./ledger.ts";
 import {
   type MemberMessage,
   MemberMessageSchema,
   type OwnerMessage,
 } from "./messages.ts";
 
-/** What an owner is made from. */
-export type QuotaOwnerSource = QuotaLedgerSource & {
+/** Options of {@link QuotaOwner}. */
+export type QuotaOwnerOptions = QuotaLedgerOptions & {
   readonly clock: Clock;
-  /** Names this run of the process. */
+  /** Identifies this run of the process. */
   readonly run: string;
 };
 
-/** Carries messages between the ledger and its members. */
+/** Passes messages between the ledger and its members. */
 export class QuotaOwner {
   readonly #clock: Clock;
-  /** Names this run of the process. */
+  /** Identifies this run of the process. */
   readonly run: string;
   readonly #ledger: QuotaLedger;
   /** The newest link of each host. */
   readonly #links = new Map<HostId, Link>();
 
-  constructor(source: QuotaOwnerSource) {
-    this.#clock = source.clock;
-    this.run = source.run;
-    this.#ledger = new QuotaLedger(source);
+  constructor(options: QuotaOwnerOptions) {
+    this.#clock = options.clock;
+    this.run = options.run;
+    this.#ledger = new QuotaLedger(options);
   }
 
-  /** Customers of whom something is kept. */
+  /** Number of accounts on record. */
   get size(): number {
     return this.#ledger.size;
   }
 
-  /** Takes a host's message; gives the answer, where there is one. */
-  take(from: HostId, message: MemberMessage): OwnerMessage | undefined {
+  /** Handles a host's message and returns the reply, if there is one. */
+  handle(from: HostId, message: MemberMessage): OwnerMessage | undefined {
     const now = this.#clock.now();
     switch (message.type) {
       case "member":
@@ -53,44 +55,44 @@
       case "take":
         return { id: message.id, ...this.#ledger.take(message, now) };
       case "give-back":
-        this.#ledger.giveBack(message, now);
+        this.#ledger.release(message, now);
         return undefined;
       case "ping":
         return undefined;
     }
   }
 
-  /** A host is out of touch: it takes nothing from this owner any more. */
-  lose(host: HostId): void {
-    this.#ledger.lose(host, this.#clock.now());
+  /** Removes an unreachable host from all shards. */
+  removeMember(host: HostId): void {
+    this.#ledger.removeMember(host, this.#clock.now());
   }
 
-  /** Serves a link that a host has opened. */
-  accept(incoming: IncomingMessage, answer: ServerResponse): void {
+  /** Accepts a link from a host. */
+  accept(incoming: IncomingMessage, response: ServerResponse): void {
     const name = String(incoming.headers[LINK_HOST_HEADER] ?? "");
-    answer.writeHead(200, { "Content-Type": "application/x-ndjson" });
-    answer.flushHeaders();
+    response.writeHead(200, { "Content-Type": "application/x-ndjson" });
+    response.flushHeaders();
     const clock = this.#clock;
     this.join(
       name,
       (events) =>
-        acceptLink(incoming, answer, { clock, isWatchful: true, events }),
+        acceptLink(incoming, response, { clock, isWatchful: true, events }),
     );
   }
 
-  /** Serves the host of that name over the link that `open` makes. */
+  /** Serves the host with this name over the link that `open` returns. */
   join(name: HostId, open: (events: LinkEvents) => Link): void {
     const link: Link = open({
       line: (text) => {
         const message = readJson(MemberMessageSchema, text);
-        const reply = message && this.take(name, message);
+        const reply = message && this.handle(name, message);
         if (reply) link.send(reply);
       },
       closed: () => {
-        // A newer link of the same host may have taken its place.
+        // The host may have opened a newer link in the meantime.
         if (this.#links.get(name) !== link) return;
         this.#links.delete(name);
-        this.lose(name);
+        this.removeMember(name);
       },
     });
     this.#links.set(name, link);
--- a/src/gateway/quota/suspects.ts
+++ b/src/gateway/quota/suspects.ts
@@ -1,50 +1,52 @@
-/** Owners that did not answer, and halls that seem to be cut off. */
+/**
+ * Tracks owners that did not respond, and halls that are probably unreachable.
+ */
 import type { HallId, HostId } from "../../util/ids.ts";
 import type { Milliseconds } from "../../util/units.ts";
 
 /**
- * An owner that was left is not tried again for this time. A host alone has a
- * small part of each account, so a live owner is soon tried.
+ * Time for which an owner that did not respond is skipped. Short, because a
+ * host that acts as its own owner may grant only a small share of each account.
  */
-const SUSPECT_MS: Milliseconds = 800;
-/** A hall in which so many hosts don't answer is most likely cut off. */
-const SUSPECTS_OF_CUT = 2;
+const SUSPECT_TTL_MS: Milliseconds = 800;
+/** A hall with at least this many suspects is assumed to be unreachable. */
+const MIN_SUSPECTS_OF_UNREACHABLE_HALL = 2;
 
 type Suspect = { readonly until: Milliseconds; readonly hall: HallId };
 
-/** Hosts that are passed over as owners for a while. */
+/** Hosts that are not considered as owners for a limited time. */
 export class Suspects {
-  readonly #hall: HallId;
+  readonly #localHall: HallId;
   readonly #suspects = new Map<HostId, Suspect>();
 
-  /** `hall` is the one that can't be cut off from here. */
-  constructor(hall: HallId) {
-    this.#hall = hall;
+  /** The host's own hall, `localHall`, is never assumed to be unreachable. */
+  constructor(localHall: HallId) {
+    this.#localHall = localHall;
   }
 
-  /** The host did not answer. */
+  /** Marks a host that did not respond as suspect. */
   add(id: HostId, hall: HallId, now: Milliseconds): void {
-    this.#suspects.set(id, { until: now + SUSPECT_MS, hall });
+    this.#suspects.set(id, { until: now + SUSPECT_TTL_MS, hall });
   }
 
-  /** Whether the host is passed over. */
   has(id: HostId): boolean {
     return this.#suspects.has(id);
   }
 
   /**
-   * Halls that seem to be cut off from this one, once those that are trusted
-   * again are forgotten. Their hosts are passed over together: each would cost
-   * the requests that wait the time in which a link is found dead.
+   * Removes expired suspects and returns the halls that are assumed to be
+   * unreachable. All hosts of such a hall are skipped at once; trying them one
+   * by one would delay the pending requests by a link timeout each.
    */
-  cutHalls(now: Milliseconds): ReadonlySet<HallId> {
+  unreachableHalls(now: Milliseconds): ReadonlySet<HallId> {
     const counts = new Map<HallId, number>();
     for (const [id, { until, hall }] of this.#suspects) {
       if (until <= now) this.#suspects.delete(id);
       else counts.set(hall, (counts.get(hall) ?? 0) + 1);
     }
-    counts.delete(this.#hall);
-    const isCut = ([, count]: [HallId, number]) => count >= SUSPECTS_OF_CUT;
-    return new Set([...counts].filter(isCut).map(([hall]) => hall));
+    counts.delete(this.#localHall);
+    const isUnreachable = ([, count]: [HallId, number]) =>
+      count >= MIN_SUSPECTS_OF_UNREACHABLE_HALL;
+    return new Set([...counts].filter(isUnreachable).map(([hall]) => hall));
   }
 }
--- a/src/gateway/quota/uses.ts
+++ b/src/gateway/quota/uses.ts
@@ -1,53 +1,69 @@
-/** What a host took of late, to tell owners that don't know of it. */
+/**
+ * Records what a host acquired recently, to report it to owners that lack it.
+ */
 import type { Milliseconds } from "../../util/units.ts";
 import type { QuotaTake } from "./ledger.ts";
 import type { QuotaUsage } from "./messages.ts";
 import { shardOf } from "./shards.ts";
 
-/** Units that were taken. */
-export type Use = {
-  readonly take: QuotaTake;
+/** Units that this host has acquired. */
+export type Acquisition = {
+  readonly request: QuotaTake;
+  /** When the units may be used. */
   readonly at: Milliseconds;
-  /** Runs of owners that know of it: who gave it, and who was told. */
+  /** Runs of the owners that granted it or received a report of it. */
   readonly knownTo: Set<string>;
 };
 
-/** The uses of one host. */
-export class Uses {
-  /** The oldest first. */
-  #uses: Use[] = [];
+/** The recent acquisitions of one host. */
+export class AcquisitionLog {
+  /** Oldest first. */
+  #acquisitions: Acquisition[] = [];
 
-  /** Enters a use that the owner with this run gave; forgets old ones. */
-  add(use: Use, oldest: Milliseconds): void {
-    while ((this.#uses[0]?.at ?? oldest) < oldest) this.#uses.shift();
-    this.#uses.push(use);
+  /** Adds an acquisition, and removes those before `oldest`. */
+  add(acquisition: Acquisition, oldest: Milliseconds): void {
+    while ((this.#acquisitions[0]?.at ?? oldest) < oldest) {
+      this.#acquisitions.shift();
+    }
+    this.#acquisitions.push(acquisition);
   }
 
-  /** Enters uses of the past that no owner knows of. */
-  addUnknown(take: QuotaTake, times: readonly Milliseconds[]): void {
-    const uses = times.map((at) => ({ take, at, knownTo: new Set<string>() }));
-    this.#uses = [...this.#uses, ...uses].sort((a, b) => a.at - b.at);
+  /** Adds past acquisitions that no owner has on record. */
+  addUnreported(request: QuotaTake, times: readonly Milliseconds[]): void {
+    const unreported = times.map((at) => ({
+      request,
+      at,
+      knownTo: new Set<string>(),
+    }));
+    this.#acquisitions = [...this.#acquisitions, ...unreported].sort((a, b) =>
+      a.at - b.at
+    );
   }
 
-  /** The units were not used. */
-  remove(use: Use): void {
-    const at = this.#uses.indexOf(use);
-    if (at >= 0) this.#uses.splice(at, 1);
+  /** Removes an acquisition whose units were not used. */
+  remove(acquisition: Acquisition): void {
+    const index = this.#acquisitions.indexOf(acquisition);
+    if (index >= 0) this.#acquisitions.splice(index, 1);
   }
 
-  /** What the run of an owner doesn't know of these shards; now it does. */
-  newsFor(
+  /**
+   * Returns what is not yet reported to an owner's run, and marks it as
+   * reported.
+   */
+  reportTo(
     owner: { readonly run: string; readonly shards: readonly number[] },
     span: { readonly oldest: Milliseconds; readonly now: Milliseconds },
   ): QuotaUsage[] {
     const { run, shards } = owner;
-    this.#uses = this.#uses.filter((one) => one.at > span.oldest);
-    const news = this.#uses
-      .filter((one) => !one.knownTo.has(run))
-      .filter(({ take }) => shards.includes(shardOf(take.customer)));
-    for (const { knownTo } of news) knownTo.add(run);
-    return news.map(({ take, at }) => {
-      const { customer, units, rate, version } = take;
+    this.#acquisitions = this.#acquisitions.filter((acquisition) =>
+      acquisition.at > span.oldest
+    );
+    const unreported = this.#acquisitions
+      .filter((acquisition) => !acquisition.knownTo.has(run))
+      .filter(({ request }) => shards.includes(shardOf(request.customer)));
+    for (const { knownTo } of unreported) knownTo.add(run);
+    return unreported.map(({ request, at }) => {
+      const { customer, units, rate, version } = request;
       return { customer, units, rate, version, agoMs: span.now - at };
     });
   }
--- a/src/gateway/quota/window_log.ts
+++ b/src/gateway/quota/window_log.ts
@@ -1,23 +1,23 @@
-/** What was taken of an account in the last window. */
+/** Records what was acquired from an account in the last window. */
 import type { Milliseconds } from "../../util/units.ts";
 
 /**
- * Times are kept to this much: a window has 32 slots of a deployment's 8 s, and
- * what was taken counts for up to a slot longer than it must.
+ * Resolution of the recorded times. Units may count for up to one slot longer
+ * than the window.
  */
 const SLOT_MS = 250;
 
-/** Units by the time at which they were taken. */
+/** Units by the time at which they were acquired. */
 export class WindowLog {
   readonly #slots = new Map<number, number>();
   #sum = 0;
 
-  /** Units of the last window, after {@link expire}. */
+  /** Units in the last window; exact after {@link expire}. */
   get sum(): number {
     return this.#sum;
   }
 
-  /** Forgets what no window that reaches to `now` holds any more. */
+  /** Removes units that are older than the window. */
   expire(now: Milliseconds, windowMs: Milliseconds): void {
     for (const [slot, units] of this.#slots) {
       if (this.#endOf(slot) + windowMs > now) continue;
@@ -26,19 +26,19 @@
     }
   }
 
-  /** Units are taken at `at`. */
+  /** Records units as acquired at `at`. */
   add(units: number, at: Milliseconds): void {
     const slot = Math.floor(at / SLOT_MS);
     this.#slots.set(slot, (this.#slots.get(slot) ?? 0) + units);
     this.#sum += units;
   }
 
-  /** Units that were taken at about `at` were not used. */
+  /** Removes units that were acquired at about `at` and not used. */
   remove(units: number, at: Milliseconds): void {
     const slot = Math.floor(at / SLOT_MS);
-    // The other side's clock may be a slot off.
-    const near = [slot, slot - 1, slot + 1].find((one) =>
-      (this.#slots.get(one) ?? 0) >= units
+    // The time comes from another host and may be off by one slot.
+    const near = [slot, slot - 1, slot + 1].find((candidate) =>
+      (this.#slots.get(candidate) ?? 0) >= units
     );
     if (near === undefined) return;
     this.#slots.set(near, (this.#slots.get(near) ?? 0) - units);
@@ -46,10 +46,11 @@
   }
 
   /**
-   * When units can be added so that no span of `spanMs` holds more than
-   * `limit`; Infinity: never. Spans may be shorter than the window.
+   * The earliest time at which units can be added without exceeding `limit` in
+   * any span of `spanMs`; Infinity if there is none. The span may be shorter
+   * than the window.
    */
-  roomAt(
+  availableAt(
     units: number,
     { limit, spanMs, now }: {
       readonly limit: number;
@@ -59,11 +60,11 @@
   ): Milliseconds {
     const slots = [...this.#slots]
       .filter(([slot]) => this.#endOf(slot) + spanMs > now)
-      .sort(([one], [other]) => one - other);
-    let sum = slots.reduce((total, [, taken]) => total + taken, 0);
+      .sort(([a], [b]) => a - b);
+    let sum = slots.reduce((total, [, acquired]) => total + acquired, 0);
     if (sum + units <= limit) return now;
-    for (const [slot, taken] of slots) {
-      sum -= taken;
+    for (const [slot, acquired] of slots) {
+      sum -= acquired;
       if (sum + units <= limit) return this.#endOf(slot) + spanMs;
     }
     return Infinity;
--- a/test/gateway/quota/quota_fleet.ts
+++ b/test/gateway/quota/quota_fleet.ts
@@ -1,4 +1,7 @@
-/** Hosts that share quotas over links that a test can cut, in virtual time. */
+/**
+ * Simulates hosts that share quotas, with partitions and crashes, in virtual
+ * time.
+ */
 import {
   type QuotaBounds,
   quotaRule,
@@ -17,12 +20,12 @@
 import type { HostEntry } from "../../../src/gateway/mod.ts";
 import { VirtualTime } from "../../fake/virtual_time.ts";
 
-const WAY_MS = 1.5;
-/** A link that can't be made is given up after this time. */
-const CONNECT_MS = 400;
-/** A silent link is given up after this time by both ends. */
-const SILENT_MS = 1300;
-const REFRESH_MS = 1000;
+const LINK_DELAY_MS = 1.5;
+/** Time after which an attempt to open a link fails. */
+const CONNECT_TIMEOUT_MS = 400;
+/** Time after which both ends close a link on which nothing arrives. */
+const SILENCE_TIMEOUT_MS = 1300;
+const REFRESH_INTERVAL_MS = 1000;
 
 export const BOUNDS: QuotaBounds = {
   windowMs: 8000,
@@ -34,8 +37,8 @@
   readonly id: string;
   owner: QuotaOwner;
   member: QuotaMember;
-  /** Rises with each start; links of an earlier one are dead. */
-  life: number;
+  /** Number of restarts; links to an earlier generation are closed. */
+  generation: number;
   isUp: boolean;
   readonly links: Set<FakeLink>;
 };
@@ -46,30 +49,30 @@
   close(): void;
 };
 
-/** A request's units, and what became of them. */
-export type Asked = {
+/** A request for units, and its outcome. */
+export type FleetRequest = {
   readonly at: number;
   readonly customer: string;
   readonly units: number;
   outcome: QuotaOutcome | undefined;
-  /** When it went on. */
-  wentAt: number | undefined;
+  /** When the units could be used; undefined if none were granted. */
+  startedAt: number | undefined;
 };
 
-/** Hosts that share quotas. */
+/** The simulated hosts, and the requests made at them. */
 export class QuotaFleet {
   readonly hosts: Host[] = [];
-  readonly asked: Asked[] = [];
+  readonly requests: FleetRequest[] = [];
   readonly #time = new VirtualTime();
   readonly #entries: HostEntry[] = [];
-  /** Hosts with the same number reach each other. */
+  /** Side of the partition by host; hosts on the same side reach each other. */
   readonly #sides = new Map<string, number>();
   #cutAt = 0;
 
   constructor(size: number) {
-    for (let at = 0; at < size; at++) {
-      const id = `h${at}`;
-      this.#entries.push({ id, address: id, hall: `hall-${at % 3}` });
+    for (let index = 0; index < size; index++) {
+      const id = `h${index}`;
+      this.#entries.push({ id, address: id, hall: `hall-${index % 3}` });
     }
     for (const { id } of this.#entries) this.hosts.push(this.#newHost(id));
     for (const host of this.hosts) this.#start(host);
@@ -79,20 +82,20 @@
     return this.#time.now;
   }
 
-  /** Does something at a time. */
-  at(time: number, run: () => void): void {
-    this.#time.at(time, run);
+  /** Schedules a callback. */
+  at(time: number, work: () => void): void {
+    this.#time.at(time, work);
   }
 
-  /** Goes on to a time. */
+  /** Advances the virtual time. */
   runTo(time: number): Promise<void> {
     return this.#time.runTo(time);
   }
 
-  /** A request takes units at a host. */
-  ask(
+  /** Schedules a request for units at a host. */
+  request(
     at: number,
-    request: {
+    options: {
       readonly host: number;
       readonly customer: string;
       readonly units: number;
@@ -100,60 +103,61 @@
       readonly version?: number;
       readonly mostWaitMs?: number;
     },
-  ): Asked {
-    const { customer, units, perSecond } = request;
-    const asked: Asked = {
+  ): FleetRequest {
+    const { customer, units, perSecond } = options;
+    const request: FleetRequest = {
       at,
       customer,
       units,
       outcome: undefined,
-      wentAt: undefined,
+      startedAt: undefined,
     };
-    this.asked.push(asked);
+    this.requests.push(request);
     this.at(at, () => {
-      const host = this.hosts[request.host % this.hosts.length];
+      const host = this.hosts[options.host % this.hosts.length];
       if (!host?.isUp) return;
       void host.member.take({
         customer,
         units,
         rate: { perSecond, burst: perSecond },
-        version: request.version ?? 1,
-        mostWaitMs: request.mostWaitMs ?? 225,
+        version: options.version ?? 1,
+        mostWaitMs: options.mostWaitMs ?? 225,
       }).then((outcome) => {
-        asked.outcome = outcome;
+        request.outcome = outcome;
         if (outcome.type !== "granted") return;
-        asked.wentAt = this.#time.now + outcome.afterMs;
+        request.startedAt = this.#time.now + outcome.afterMs;
       });
     });
-    return asked;
+    return request;
   }
 
-  /** Cuts the hosts that `pick` names from the others. */
-  cut(pick: (id: string, at: number) => boolean): void {
+  /** Partitions the hosts that `pick` selects from the others. */
+  cut(pick: (id: string, index: number) => boolean): void {
     this.#cutAt = this.#time.now;
-    for (const [at, { id }] of this.#entries.entries()) {
-      this.#sides.set(id, pick(id, at) ? 1 : 0);
+    for (const [index, { id }] of this.#entries.entries()) {
+      this.#sides.set(id, pick(id, index) ? 1 : 0);
     }
     for (const host of this.hosts) {
       for (const link of host.links) {
         if (this.#reaches(link.from, link.to)) continue;
-        this.at(this.#time.now + SILENT_MS, () => {
+        this.at(this.#time.now + SILENCE_TIMEOUT_MS, () => {
           if (!this.#reaches(link.from, link.to)) link.close();
         });
       }
     }
   }
 
+  /** Ends the partition. */
   heal(): void {
     this.#sides.clear();
   }
 
-  /** The process ends, and starts again after a time. */
+  /** Kills a host's process, and restarts it after `downMs`. */
   kill(id: string, downMs: number): void {
-    const host = this.hosts.find((one) => one.id === id);
+    const host = this.hosts.find((candidate) => candidate.id === id);
     if (!host?.isUp) return;
     host.isUp = false;
-    host.life += 1;
+    host.generation += 1;
     for (const link of [...host.links]) link.close();
     this.at(this.#time.now + downMs, () => {
       Object.assign(host, this.#partsOf(host.id));
@@ -162,27 +166,32 @@
     });
   }
 
-  /** Most units that went on within one window. */
-  mostInWindow(customer: string): number {
-    const went = this.asked
-      .filter((one) => one.customer === customer && one.wentAt !== undefined)
-      .sort((a, b) => (a.wentAt ?? 0) - (b.wentAt ?? 0));
-    let most = 0;
+  /** Maximum number of units used within one window. */
+  maxInWindow(customer: string): number {
+    const started = this.requests
+      .filter((request) =>
+        request.customer === customer && request.startedAt !== undefined
+      )
+      .sort((a, b) => (a.startedAt ?? 0) - (b.startedAt ?? 0));
+    let max = 0;
     let sum = 0;
     let first = 0;
-    for (const one of went) {
-      sum += one.units;
-      while ((went[first]?.wentAt ?? 0) < (one.wentAt ?? 0) - BOUNDS.windowMs) {
-        sum -= went[first]?.units ?? 0;
+    for (const request of started) {
+      sum += request.units;
+      while (
+        (started[first]?.startedAt ?? 0) <
+          (request.startedAt ?? 0) - BOUNDS.windowMs
+      ) {
+        sum -= started[first]?.units ?? 0;
         first += 1;
       }
-      most = Math.max(most, sum);
+      max = Math.max(max, sum);
     }
-    return most;
+    return max;
   }
 
   #newHost(id: string): Host {
-    const base = { id, life: 0, isUp: true, links: new Set<FakeLink>() };
+    const base = { id, generation: 0, isUp: true, links: new Set<FakeLink>() };
     return Object.assign(base, this.#partsOf(id));
   }
 
@@ -195,7 +204,7 @@
       memoryMs: () => BOUNDS.windowMs,
       knownHosts: () => this.#entries.length,
     });
-    const others = this.#entries.filter((one) => one.id !== id);
+    const others = this.#entries.filter((entry) => entry.id !== id);
     const member = new QuotaMember({
       self: { id, hall: `hall-${Number(id.slice(1)) % 3}` },
       clock,
@@ -210,25 +219,25 @@
   }
 
   #start(host: Host): void {
-    const { life } = host;
+    const { generation } = host;
     const refresh = () => {
-      if (host.life !== life) return;
+      if (host.generation !== generation) return;
       host.member.refresh();
-      this.at(this.#time.now + REFRESH_MS, refresh);
+      this.at(this.#time.now + REFRESH_INTERVAL_MS, refresh);
     };
     this.at(this.#time.now, refresh);
   }
 
-  #reaches(one: Host, other: Host): boolean {
-    if (!one.isUp || !other.isUp) return false;
-    return this.#sides.get(one.id) === this.#sides.get(other.id);
+  #reaches(from: Host, to: Host): boolean {
+    if (!from.isUp || !to.isUp) return false;
+    return this.#sides.get(from.id) === this.#sides.get(to.id);
   }
 
   #open(fromId: string, toId: string, events: LinkEvents): Link {
     const from = this.#hostOf(fromId);
     const to = this.#hostOf(toId);
     let state: "opening" | "open" | "closed" = "opening";
-    const { life } = to;
+    const { generation } = to;
     const link: FakeLink = {
       from,
       to,
@@ -238,39 +247,50 @@
         state = "closed";
         from.links.delete(link);
         to.links.delete(link);
-        const lose = () => {
-          if (to.isUp && to.life === life) to.owner.lose(fromId);
+        const removeMember = () => {
+          if (to.isUp && to.generation === generation) {
+            to.owner.removeMember(fromId);
+          }
         };
-        // Over a cut the owner hears nothing of the end.
+        // Across a partition the owner detects the closed link by timeout only.
         const isCut = this.#sides.get(fromId) !== this.#sides.get(toId);
-        const silentAt = Math.max(this.#time.now, this.#cutAt + SILENT_MS);
-        if (wasOpen && isCut) this.at(silentAt, lose);
-        else if (wasOpen) lose();
+        const timeoutAt = Math.max(
+          this.#time.now,
+          this.#cutAt + SILENCE_TIMEOUT_MS,
+        );
+        if (wasOpen && isCut) this.at(timeoutAt, removeMember);
+        else if (wasOpen) removeMember();
         events.closed();
       },
     };
     from.links.add(link);
-    const isThere = to.isUp;
-    this.at(this.#time.now + (isThere ? 2 * WAY_MS : WAY_MS), () => {
-      if (state === "closed") return;
-      if (!isThere || to.life !== life) return link.close();
-      if (!this.#reaches(from, to)) {
-        return this.at(this.#time.now + CONNECT_MS, () => link.close());
-      }
-      state = "open";
-      to.links.add(link);
-      events.ready?.();
-      const hello = { type: "hello", run: to.owner.run };
-      this.at(this.#time.now, () => events.line(JSON.stringify(hello)));
-    });
+    const wasUp = to.isUp;
+    this.at(
+      this.#time.now + (wasUp ? 2 * LINK_DELAY_MS : LINK_DELAY_MS),
+      () => {
+        if (state === "closed") return;
+        if (!wasUp || to.generation !== generation) return link.close();
+        if (!this.#reaches(from, to)) {
+          return this.at(
+            this.#time.now + CONNECT_TIMEOUT_MS,
+            () => link.close(),
+          );
+        }
+        state = "open";
+        to.links.add(link);
+        events.ready?.();
+        const hello = { type: "hello", run: to.owner.run };
+        this.at(this.#time.now, () => events.line(JSON.stringify(hello)));
+      },
+    );
     return {
       close: () => link.close(),
       send: (message) => {
-        this.at(this.#time.now + WAY_MS, () => {
+        this.at(this.#time.now + LINK_DELAY_MS, () => {
           if (state !== "open" || !this.#reaches(from, to)) return;
-          const reply = to.owner.take(fromId, message as MemberMessage);
+          const reply = to.owner.handle(fromId, message as MemberMessage);
           if (!reply) return;
-          this.at(this.#time.now + WAY_MS, () => {
+          this.at(this.#time.now + LINK_DELAY_MS, () => {
             if (state !== "open" || !this.#reaches(from, to)) return;
             events.line(JSON.stringify(reply));
           });
--- a/test/gateway/quota/quota_member_test.ts
+++ b/test/gateway/quota/quota_member_test.ts
@@ -1,4 +1,4 @@
-/** What a host tells the owners of quotas that it names. */
+/** Tests what a host reports to the quota owners that it has chosen. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { systemClock } from "../../../src/gateway/clock.ts";
@@ -9,13 +9,13 @@
 import type { HostEntry } from "../../../src/gateway/mod.ts";
 import { BOUNDS } from "./quota_fleet.ts";
 
-type Told = { readonly type: string; readonly usage?: readonly unknown[] };
+type Message = { readonly type: string; readonly usage?: readonly unknown[] };
 
-/** A member whose links are the test's. */
+/** Starts a member whose links record the messages sent. */
 function start() {
   let hosts: readonly HostEntry[] = [];
-  const links = new Map<string, { events: LinkEvents; told: Told[] }>();
-  const own = new QuotaOwner({
+  const links = new Map<string, { events: LinkEvents; sent: Message[] }>();
+  const localOwner = new QuotaOwner({
     clock: systemClock,
     run: "own",
     allowance: quotaRule(() => BOUNDS),
@@ -25,16 +25,16 @@
   const member = new QuotaMember({
     self: { id: "self", hall: "h" },
     clock: { ...systemClock, now: () => 20_000 },
-    own,
+    own: localOwner,
     hosts: () => hosts,
     memoryMs: () => BOUNDS.windowMs,
     path: LinkPath.quota,
     noteLost: () => undefined,
     openLink: ({ address }, events) => {
-      const told: Told[] = [];
-      links.set(address, { events, told });
+      const sent: Message[] = [];
+      links.set(address, { events, sent });
       return {
-        send: (message) => told.push(message as Told),
+        send: (message) => sent.push(message as Message),
         close: () => undefined,
       };
     },
@@ -48,12 +48,12 @@
   return { member, links, join };
 }
 
-test("an owner is told once of what others gave", async () => {
+test("what other owners granted is reported to an owner only once", async () => {
   const { member, links, join } = start();
   member.refresh();
-  for (let at = 0; at < 40; at++) {
+  for (let index = 0; index < 40; index++) {
     const outcome = await member.take({
-      customer: `c${at}`,
+      customer: `c${index}`,
       units: 1,
       rate: { perSecond: 1e9, burst: 1e9 },
       version: 1,
@@ -62,11 +62,11 @@
     assert.equal(outcome.type, "granted");
   }
   join("first");
-  const told = links.get("first")?.told ?? [];
-  const before = told.flatMap((one) => one.usage ?? []).length;
+  const sent = links.get("first")?.sent ?? [];
+  const before = sent.flatMap((message) => message.usage ?? []).length;
   assert.ok(before > 0);
-  // Newcomers take shards over: the first is named for fewer of them.
+  // New hosts take over shards, so the first is sent another report.
   for (const id of ["second", "third", "fourth"]) join(id);
-  assert.ok(told.filter((one) => one.type === "member").length > 1);
-  assert.equal(told.flatMap((one) => one.usage ?? []).length, before);
+  assert.ok(sent.filter((message) => message.type === "member").length > 1);
+  assert.equal(sent.flatMap((message) => message.usage ?? []).length, before);
 });
--- a/test/gateway/quota/quota_test.ts
+++ b/test/gateway/quota/quota_test.ts
@@ -1,4 +1,7 @@
-/** The sum over all hosts keeps to a quota, and what is below it is not refused. */
+/**
+ * Tests that all hosts together stay within a quota, and refuse nothing below
+ * it.
+ */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import * as fc from "fast-check";
@@ -10,24 +13,26 @@
 
 const CUSTOMER = "alpha";
 const RATE = 36_000;
-/** Units of a usual request. */
-const UNITS = 6000;
-/** Links to the owners stand by then, and all hosts have run for a window. */
+/** Units of a default request. */
+const REQUEST_UNITS = 6000;
+/**
+ * By then the links to owners are open, and all hosts have run for a window.
+ */
 const START_MS = 9000;
 
-/** What all hosts may let through in one window. */
-function mostOf(perSecond: number): number {
+/** Maximum number of units that all hosts together may grant in one window. */
+function maxUnitsInWindow(perSecond: number): number {
   const { windowMs, overshoot, tolerance } = BOUNDS;
   const inWindow = perSecond * windowMs / 1000 + perSecond;
   return inWindow * (1 + overshoot) + tolerance;
 }
 
-/** Requests at a steady rate, one after the other at all hosts. */
+/** Schedules requests at a constant rate, distributed over the hosts. */
 function load(
   fleet: QuotaFleet,
   from: number,
   to: number,
-  source: {
+  options: {
     readonly unitsPerSecond: number;
     readonly perSecond?: number;
     readonly units?: number;
@@ -35,30 +40,30 @@
     readonly version?: number;
   },
 ): void {
-  const { unitsPerSecond, perSecond = RATE, units = UNITS } = source;
+  const { unitsPerSecond, perSecond = RATE, units = REQUEST_UNITS } = options;
   const stepMs = units / unitsPerSecond * 1000;
   for (let at = from, host = 0; at < to; at += stepMs, host += 7) {
-    fleet.ask(at, {
-      host: host % (source.hosts ?? fleet.hosts.length),
+    fleet.request(at, {
+      host: host % (options.hosts ?? fleet.hosts.length),
       customer: CUSTOMER,
       units,
       perSecond,
-      version: source.version ?? 1,
+      version: options.version ?? 1,
     });
   }
 }
 
-/** More than half of the hosts are killed at once, the owner too. */
-function killMany(fleet: QuotaFleet, which: number, forMs: number): void {
+/** Kills more than half of the hosts at once, including the owner. */
+function killMostHosts(fleet: QuotaFleet, offset: number, forMs: number): void {
   const [owner = ""] = ownersOf(fleet);
-  for (const [at, { id }] of fleet.hosts.entries()) {
-    if ((at + which) % 5 < 3 || id === owner) fleet.kill(id, forMs);
+  for (const [index, { id }] of fleet.hosts.entries()) {
+    if ((index + offset) % 5 < 3 || id === owner) fleet.kill(id, forMs);
   }
 }
 
 function counts(fleet: QuotaFleet) {
   const of = (type: string | undefined) =>
-    fleet.asked.filter((one) => one.outcome?.type === type).length;
+    fleet.requests.filter((request) => request.outcome?.type === type).length;
   return {
     granted: of("granted"),
     refused: of("refused"),
@@ -70,7 +75,7 @@
 function ownersOf(fleet: QuotaFleet): string[] {
   return rendezvous(
     orderKeyOf(shardOf(CUSTOMER)),
-    fleet.hosts.map((one) => one.id),
+    fleet.hosts.map((host) => host.id),
   );
 }
 
@@ -80,18 +85,18 @@
     load(fleet, START_MS, START_MS + 10_000, { unitsPerSecond: RATE * 0.9 });
     await fleet.runTo(START_MS + 11_000);
     const { granted, ...others } = counts(fleet);
-    assert.equal(granted, fleet.asked.length);
+    assert.equal(granted, fleet.requests.length);
     assert.deepEqual(others, { refused: 0, unknown: 0, open: 0 });
   });
 
-  test(`a customer far over its limit gets just that from ${size} hosts`, async () => {
+  test(`a customer far over its limit is granted its limit by ${size} hosts`, async () => {
     const fleet = new QuotaFleet(size);
     load(fleet, START_MS, START_MS + 20_000, { unitsPerSecond: RATE * 4 });
     await fleet.runTo(START_MS + 21_000);
-    assert.ok(fleet.mostInWindow(CUSTOMER) <= mostOf(RATE));
-    assert.ok(counts(fleet).granted * UNITS >= RATE * 20);
-    const refused = fleet.asked.filter((one) =>
-      one.outcome?.type === "refused"
+    assert.ok(fleet.maxInWindow(CUSTOMER) <= maxUnitsInWindow(RATE));
+    assert.ok(counts(fleet).granted * REQUEST_UNITS >= RATE * 20);
+    const refused = fleet.requests.filter((request) =>
+      request.outcome?.type === "refused"
     );
     for (const { outcome } of refused) {
       assert.ok(outcome?.type === "refused" && outcome.retryAfterMs >= 100);
@@ -100,45 +105,51 @@
   });
 }
 
-test("a customer that sends all through one host gets its whole limit", async () => {
+test("a customer that sends all requests to one host is granted its full limit", async () => {
   const fleet = new QuotaFleet(88);
   const unitsPerSecond = RATE * 0.9;
   load(fleet, START_MS, START_MS + 10_000, { unitsPerSecond, hosts: 1 });
   await fleet.runTo(START_MS + 11_000);
-  assert.equal(counts(fleet).granted, fleet.asked.length);
+  assert.equal(counts(fleet).granted, fleet.requests.length);
 });
 
-test("units that a request gave back are had by the next", async () => {
+test("units that a request released are granted to the next one", async () => {
   const fleet = new QuotaFleet(3);
   const perSecond = 1000;
-  const take = { customer: CUSTOMER, perSecond, host: 0, mostWaitMs: 0 };
+  const options = { customer: CUSTOMER, perSecond, host: 0, mostWaitMs: 0 };
   const units = windowLimitOf({ perSecond, burst: perSecond }, BOUNDS);
-  const all = fleet.ask(START_MS, { ...take, units });
-  const more = fleet.ask(START_MS + 10, { ...take, units: 500 });
+  const all = fleet.request(START_MS, { ...options, units });
+  const more = fleet.request(START_MS + 10, { ...options, units: 500 });
   fleet.at(START_MS + 20, () => {
     if (all.outcome?.type === "granted") all.outcome.giveBack();
   });
-  const again = fleet.ask(START_MS + 30, { ...take, units: 500 });
+  const again = fleet.request(START_MS + 30, { ...options, units: 500 });
   await fleet.runTo(START_MS + 100);
   assert.equal(all.outcome?.type, "granted");
   assert.equal(more.outcome?.type, "refused");
   assert.equal(again.outcome?.type, "granted");
 });
 
-test("two sides of a split fleet together let through no more", async () => {
+test("two sides of a partition together stay within the limit", async () => {
   for (const part of [0.1, 0.33, 0.5, 0.66]) {
     const fleet = new QuotaFleet(60);
     load(fleet, START_MS, START_MS + 25_000, { unitsPerSecond: RATE * 6 });
-    const isAway = (_id: string, at: number) => at < 60 * part;
-    fleet.at(START_MS + 6000, () => fleet.cut(isAway));
+    const isCut = (_id: string, index: number) => index < 60 * part;
+    fleet.at(START_MS + 6000, () => fleet.cut(isCut));
     fleet.at(START_MS + 16_000, () => fleet.heal());
     await fleet.runTo(START_MS + 26_000);
-    assert.ok(fleet.mostInWindow(CUSTOMER) <= mostOf(RATE), `part ${part}`);
-    assert.ok(counts(fleet).granted * UNITS >= RATE * 18, `part ${part}`);
+    assert.ok(
+      fleet.maxInWindow(CUSTOMER) <= maxUnitsInWindow(RATE),
+      `part ${part}`,
+    );
+    assert.ok(
+      counts(fleet).granted * REQUEST_UNITS >= RATE * 18,
+      `part ${part}`,
+    );
   }
 });
 
-test("owners that take turns know what each other gave", async () => {
+test("an owner that replaces another receives what that one granted", async () => {
   const fleet = new QuotaFleet(40);
   const owners = ownersOf(fleet);
   const perSecond = 2 * RATE;
@@ -148,46 +159,54 @@
     fleet.at(START_MS + at, () => fleet.kill(owners[0] ?? "", 3000));
   }
   await fleet.runTo(START_MS + 17_000);
-  assert.ok(fleet.mostInWindow(CUSTOMER) <= mostOf(perSecond));
+  assert.ok(fleet.maxInWindow(CUSTOMER) <= maxUnitsInWindow(perSecond));
 });
 
-test("a customer that has taken all does not have it again when most hosts die", async () => {
+test("a customer that has used its limit is not granted it again when most hosts are killed", async () => {
   for (const at of [1000, 2000, 3000]) {
     const fleet = new QuotaFleet(40);
     const perSecond = 2 * RATE;
     const sent = { unitsPerSecond: perSecond * 6, perSecond };
     load(fleet, START_MS, START_MS + 12_000, sent);
-    fleet.at(START_MS + at, () => killMany(fleet, 1, 2000));
+    fleet.at(START_MS + at, () => killMostHosts(fleet, 1, 2000));
     await fleet.runTo(START_MS + 13_000);
-    assert.ok(fleet.mostInWindow(CUSTOMER) <= mostOf(perSecond), `at ${at}`);
+    assert.ok(
+      fleet.maxInWindow(CUSTOMER) <= maxUnitsInWindow(perSecond),
+      `at ${at}`,
+    );
   }
 });
 
-test("a hall that is cut off soon has its part of the limit", async () => {
+test("a hall that is cut off can use its share of the limit within a second", async () => {
   const fleet = new QuotaFleet(60);
   const cutAt = START_MS + 1000;
   load(fleet, START_MS, START_MS + 5000, { unitsPerSecond: RATE * 0.5 });
-  fleet.at(cutAt, () => fleet.cut((_id, at) => at % 3 === 0));
+  fleet.at(cutAt, () => fleet.cut((_id, index) => index % 3 === 0));
   await fleet.runTo(START_MS + 6000);
-  const bad = fleet.asked.filter((one) => one.outcome?.type !== "granted");
-  assert.ok(bad.every((one) => one.at < cutAt + 1000));
-  assert.ok(bad.length <= fleet.asked.length * 0.1, String(bad.length));
+  const failed = fleet.requests.filter((request) =>
+    request.outcome?.type !== "granted"
+  );
+  assert.ok(failed.every((request) => request.at < cutAt + 1000));
+  assert.ok(
+    failed.length <= fleet.requests.length * 0.1,
+    String(failed.length),
+  );
 });
 
-test("an owner that is killed again and again lets through no more", async () => {
+test("the limit holds while owners are killed repeatedly", async () => {
   const fleet = new QuotaFleet(30);
   const owners = ownersOf(fleet);
   load(fleet, START_MS, START_MS + 16_000, { unitsPerSecond: RATE * 6 });
-  for (let at = 0; at < 12; at++) {
-    const victim = owners[at % 4] ?? "";
-    fleet.at(START_MS + 1500 + at * 1000, () => fleet.kill(victim, 2500));
+  for (let round = 0; round < 12; round++) {
+    const victim = owners[round % 4] ?? "";
+    fleet.at(START_MS + 1500 + round * 1000, () => fleet.kill(victim, 2500));
   }
   await fleet.runTo(START_MS + 17_000);
-  assert.ok(fleet.mostInWindow(CUSTOMER) <= mostOf(RATE));
-  assert.ok(counts(fleet).granted * UNITS >= RATE * 10);
+  assert.ok(fleet.maxInWindow(CUSTOMER) <= maxUnitsInWindow(RATE));
+  assert.ok(counts(fleet).granted * REQUEST_UNITS >= RATE * 10);
 });
 
-test("a customer below its limit is hardly refused while owners change", async () => {
+test("at most 5% of the requests below the limit fail while owners change", async () => {
   const fleet = new QuotaFleet(30);
   const [first = "", second = ""] = ownersOf(fleet);
   load(fleet, START_MS, START_MS + 12_000, { unitsPerSecond: RATE * 0.55 });
@@ -195,31 +214,33 @@
   fleet.at(START_MS + 5000, () => fleet.kill(second, 3000));
   await fleet.runTo(START_MS + 13_000);
   const { refused, unknown } = counts(fleet);
-  assert.ok(refused + unknown <= fleet.asked.length * 0.05);
+  assert.ok(refused + unknown <= fleet.requests.length * 0.05);
 });
 
-test("a limit that falls in a burst holds from then on", async () => {
+test("a limit that is lowered during a burst holds from then on", async () => {
   const fleet = new QuotaFleet(30);
   const lower = RATE / 10;
   load(fleet, START_MS, START_MS + 5000, { unitsPerSecond: RATE * 3 });
   const changedAt = START_MS + 5000;
-  const rest = { unitsPerSecond: RATE * 3, perSecond: lower, version: 2 };
-  load(fleet, changedAt, changedAt + 20_000, rest);
+  const lowered = { unitsPerSecond: RATE * 3, perSecond: lower, version: 2 };
+  load(fleet, changedAt, changedAt + 20_000, lowered);
   await fleet.runTo(changedAt + 21_000);
-  const before = fleet.asked.splice(0).filter((one) => one.at >= changedAt);
-  fleet.asked.push(...before);
-  assert.ok(fleet.mostInWindow(CUSTOMER) <= mostOf(lower));
+  const later = fleet.requests.splice(0).filter((request) =>
+    request.at >= changedAt
+  );
+  fleet.requests.push(...later);
+  assert.ok(fleet.maxInWindow(CUSTOMER) <= maxUnitsInWindow(lower));
 });
 
-test("customers who have gone quiet cost an owner nothing", async () => {
+test("an owner removes the accounts of idle customers", async () => {
   const fleet = new QuotaFleet(1);
-  for (let at = 0; at < 1000; at++) {
-    const customer = `c${at}`;
-    const asked = { host: 0, customer, units: 100, perSecond: RATE };
-    fleet.ask(START_MS + at, asked);
+  for (let index = 0; index < 1000; index++) {
+    const customer = `c${index}`;
+    const request = { host: 0, customer, units: 100, perSecond: RATE };
+    fleet.request(START_MS + index, request);
   }
   for (const at of [20_000, 40_000]) {
-    fleet.ask(START_MS + at, {
+    fleet.request(START_MS + at, {
       host: 0,
       customer: CUSTOMER,
       units: 100,
@@ -230,10 +251,10 @@
   assert.ok((fleet.hosts[0]?.owner.size ?? 0) <= 1);
 });
 
-test("under any kills and cuts all hosts together keep to the limit", async () => {
+test("all hosts together stay within the limit under any kills and partitions", async () => {
   const Fault = fc.record({
     at: fc.integer({ min: 0, max: 15_000 }),
-    kind: fc.constantFrom("kill", "herd", "cut", "heal"),
+    kind: fc.constantFrom("kill", "kill-most", "cut", "heal"),
     which: fc.integer({ min: 0, max: 11 }),
     forMs: fc.integer({ min: 300, max: 4000 }),
   });
@@ -254,12 +275,12 @@
           const victim = owners[which % 4] ?? "";
           if (kind === "kill") fleet.kill(victim, forMs);
           else if (kind === "heal") fleet.heal();
-          else if (kind === "herd") killMany(fleet, which, forMs);
-          else fleet.cut((_id, place) => place <= which);
+          else if (kind === "kill-most") killMostHosts(fleet, which, forMs);
+          else fleet.cut((_id, index) => index <= which);
         });
       }
       await fleet.runTo(START_MS + 17_000);
-      assert.ok(fleet.mostInWindow(CUSTOMER) <= mostOf(perSecond));
+      assert.ok(fleet.maxInWindow(CUSTOMER) <= maxUnitsInWindow(perSecond));
     }),
     { numRuns: 40 },
   );
