--- a/src/gateway/peers/directory.ts
+++ b/src/gateway/peers/directory.ts
@@ -1,90 +1,93 @@
-/** The fleet's hosts as far as this one knows: from the store and by word. */
+/**
+ * The fleet's hosts that this one has learned of, from the store and from
+ * peers.
+ */
 import type { HostId } from "../../util/ids.ts";
 import type { Milliseconds } from "../../util/units.ts";
 import type { HostEntry } from "../port.ts";
 
 /**
- * A host that nobody has named for so long is forgotten when the store is read
- * and does not name it, either. Not before: while hosts are cut off they can't
- * tell who has gone from who can't be heard, and what is divided among all hosts
- * (retries, quotas) must not be divided by fewer on each side of a cut.
+ * A host that has not been listed for this time is removed, but only when the
+ * store has been read and does not list it. During a network partition, a host
+ * cannot tell removed hosts from unreachable ones, and shares of what all hosts
+ * divide (retries, quotas) must not grow on either side.
  */
-const FORGET_MS = 60_000;
+const ENTRY_TTL_MS = 60_000;
 
-type Known = { readonly entry: HostEntry; at: Milliseconds };
+type KnownHost = { readonly entry: HostEntry; seenAt: Milliseconds };
 
-/** Known hosts, this one left out. */
+/** Known hosts, without this one. */
 export class HostDirectory {
   readonly #self: HostId;
   readonly #seeds: readonly string[];
-  readonly #hosts = new Map<HostId, Known>();
-  /** All entries; made anew only when one of them has changed. */
+  readonly #hosts = new Map<HostId, KnownHost>();
+  /** Cache of {@link entries}; cleared when an entry changes. */
   #entries: readonly HostEntry[] | undefined;
 
   constructor(self: HostEntry, seeds: readonly string[]) {
     this.#self = self.id;
-    this.#seeds = seeds.filter((one) => one !== self.address);
+    this.#seeds = seeds.filter((address) => address !== self.address);
   }
 
-  /** Hosts of the fleet, this one included. */
+  /** Number of hosts in the fleet, including this one. */
   get count(): number {
     return Math.max(this.#hosts.size, this.#seeds.length) + 1;
   }
 
-  /** Takes entries that somebody named at `now`. */
+  /** Adds or renews hosts that a peer or the store listed at `now`. */
   learn(entries: readonly HostEntry[], now: Milliseconds): void {
     for (const entry of entries) {
-      if (entry.id !== this.#self) this.#learnOne(entry, now);
+      if (entry.id !== this.#self) this.#addEntry(entry, now);
     }
   }
 
-  /** Takes all hosts that the store names at `now`. */
-  learnAll(entries: readonly HostEntry[], now: Milliseconds): void {
+  /** Adds the store's full list of hosts at `now`, and removes expired ones. */
+  addFromStore(entries: readonly HostEntry[], now: Milliseconds): void {
     this.learn(entries, now);
     for (const [id, known] of this.#hosts) {
-      if (now - known.at > FORGET_MS) this.#drop(id);
+      if (now - known.seenAt > ENTRY_TTL_MS) this.#removeHost(id);
     }
   }
 
-  #learnOne(entry: HostEntry, now: Milliseconds): void {
+  #addEntry(entry: HostEntry, now: Milliseconds): void {
     const known = this.#hosts.get(entry.id);
     const { address, hall } = known?.entry ?? {};
     if (known && address === entry.address && hall === entry.hall) {
-      known.at = now;
+      known.seenAt = now;
       return;
     }
-    this.#hosts.set(entry.id, { entry, at: now });
+    this.#hosts.set(entry.id, { entry, seenAt: now });
     this.#entries = undefined;
   }
 
-  #drop(id: HostId): void {
+  #removeHost(id: HostId): void {
     if (this.#hosts.delete(id)) this.#entries = undefined;
   }
 
-  /** Whoever told of the hosts believes in them still. */
+  /** Renews all known hosts. */
   refresh(now: Milliseconds): void {
-    for (const known of this.#hosts.values()) known.at = now;
+    for (const known of this.#hosts.values()) known.seenAt = now;
   }
 
-  /** Takes out hosts that are believed no more. */
+  /** Removes hosts. */
   forget(ids: readonly HostId[]): void {
-    for (const id of ids) this.#drop(id);
+    for (const id of ids) this.#removeHost(id);
   }
 
-  /** The host of that name, if it is known and not this one. */
+  /** The host with this name, if it is known and not this one. */
   get(id: HostId): HostEntry | undefined {
     return this.#hosts.get(id)?.entry;
   }
 
-  /** All known hosts but this one; the same array while none changes. */
+  /** All known hosts but this one; the same array as long as none changes. */
   entries(): readonly HostEntry[] {
-    this.#entries ??= [...this.#hosts.values()].map((one) => one.entry);
+    this.#entries ??= [...this.#hosts.values()].map((known) => known.entry);
     return this.#entries;
   }
 
-  /** Addresses to ask, those from the settings included. */
+  /** Addresses of all known hosts and of the seeds in the settings. */
   addresses(): string[] {
-    const named = this.entries().map((one) => one.address);
-    return [...new Set([...named, ...this.#seeds])];
+    const known = this.entries().map((host) => host.address);
+    return [...new Set([...known, ...this.#seeds])];
   }
 }
--- a/src/gateway/peers/host_order.ts
+++ b/src/gateway/peers/host_order.ts
@@ -1,4 +1,4 @@
-/** Rendezvous orders of hosts, made anew only when the hosts change. */
+/** Caches rendezvous orders of hosts until the hosts change. */
 import type { HostId } from "../../util/ids.ts";
 import { rendezvous } from "../../util/rendezvous.ts";
 import type { HostEntry } from "../port.ts";
@@ -8,7 +8,7 @@
   readonly ids: readonly HostId[];
 };
 
-/** The orders of this host and the others, by key. */
+/** Rendezvous orders of all hosts, including this one, by key. */
 export class HostOrders {
   readonly #self: HostId;
   readonly #orders = new Map<string, Order>();
@@ -17,11 +17,14 @@
     this.#self = self;
   }
 
-  /** Best first; `hosts` has to be the same array while none changes. */
+  /**
+   * The order for a key, best first. `hosts` must be the same array as long as
+   * none of them changes.
+   */
   of(key: string, hosts: readonly HostEntry[]): readonly HostId[] {
-    const known = this.#orders.get(key);
-    if (known?.hosts === hosts) return known.ids;
-    const ids = rendezvous(key, [this.#self, ...hosts.map((one) => one.id)]);
+    const cached = this.#orders.get(key);
+    if (cached?.hosts === hosts) return cached.ids;
+    const ids = rendezvous(key, [this.#self, ...hosts.map((host) => host.id)]);
     this.#orders.set(key, { hosts, ids });
     return ids;
   }
--- a/src/gateway/peers/host_rows.ts
+++ b/src/gateway/peers/host_rows.ts
@@ -1,8 +1,8 @@
 /**
- * Rows of the store by which hosts find each other. A host writes a row for
- * itself and those that follow it, so that the calls for it don't grow with the
- * number of hosts. The row also has what its writer knows of requests that crash
- * their replicas, for hosts that the store reaches and links don't.
+ * Rows of the store through which hosts discover each other. A host writes one
+ * row for itself and its followers, so that the number of calls does not grow
+ * with the number of hosts. The row also has the writer's records of requests
+ * that crash replicas, for hosts that can reach the store but have no link.
  */
 import * as z from "zod";
 import type { Milliseconds } from "../../util/units.ts";
@@ -17,60 +17,58 @@
 import { HostEntrySchema } from "./host_schema.ts";
 
 const TABLE = "otterhill-hosts";
-/** A row that was not written for so long, in milliseconds, isn't believed. */
-const ROW_LIFE_MS = 60_000;
+/** Age from which a row is ignored. */
+const ROW_TTL_MS = 60_000;
 
 const Row = z.object({
   hosts: z.array(HostEntrySchema).readonly(),
-  /** The store's clock when it was written. */
+  /** Time of the write, by the store's clock. */
   writtenMs: z.number(),
   /**
-   * The store's era when it was written, if its writer had known that one for
-   * long enough; absent: the store told none, or it had just come back.
+   * The store's era at the time of the write. Absent if the store reports none,
+   * or if the era is not settled at the writer yet.
    */
   era: z.number().exactOptional(),
   crashes: CrashesSchema.exactOptional(),
 });
 type Row = z.output<typeof Row>;
 
-/** A row to be written. */
+/** A row to write. */
 export type HostRow = {
-  /** The host that writes. */
   readonly writer: string;
-  /** The writer and those that follow it. */
+  /** The writer and its followers. */
   readonly hosts: readonly HostEntry[];
   readonly crashes: CrashNews;
-  /** The store's era, if the writer has known it for long enough. */
+  /** The store's era, if it is settled at the writer. */
   readonly era?: number | undefined;
 };
 
-/** What the rows say. */
+/** Content of the rows. */
 export type HostReading = {
-  /** The hosts that were named lately. */
+  /** Hosts that are listed in a row that has not expired. */
   readonly hosts: readonly HostEntry[];
-  /** What each writer knows of crashes. */
+  /** Crash records of each writer. */
   readonly crashes: readonly CrashNews[];
   /**
-   * An era that somebody has known for long enough: a writer, or all, where
-   * nobody has written yet.
+   * The store's era, if it is settled at some writer or there are no rows yet.
    */
   readonly settledEra: number | undefined;
 };
 
-/** What is read and written, and the present by this host's clock. */
+/** Parameters of a call that reads or writes rows. */
 export type HostRowCall = {
   readonly store: Store;
+  /** Reads this host's clock. */
   readonly now: () => Milliseconds;
   readonly signal: AbortSignal;
 };
 
-/** Reads the rows. */
 export async function readHosts(call: HostRowCall): Promise<HostReading> {
   const { store, signal, now } = call;
   return hostReading(await store.readRows(TABLE, signal), now());
 }
 
-/** Writes a row and gives what the rows said before. */
+/** Reads all rows, then writes one; returns what was read. */
 export async function exchangeRows(
   call: HostRowCall,
   { writer, hosts, crashes, era }: HostRow,
@@ -98,7 +96,7 @@
       : []
   );
   const isFirst = reading.rows.length === 0;
-  const isSettled = isFirst || rows.some((one) => one.era === reading.era);
+  const isSettled = isFirst || rows.some((row) => row.era === reading.era);
   return {
     hosts: liveHosts(reading),
     crashes,
@@ -107,8 +105,8 @@
 }
 
 /**
- * The hosts of rows that are not too old by the store's own clock; where two
- * rows name a host, as the newer one has it.
+ * The hosts of all rows that have not expired by the store's clock. If several
+ * rows list a host, the newest row's entry is returned.
  */
 export function liveHosts(reading: RowReading): HostEntry[] {
   const hosts = new Map<string, HostEntry>();
@@ -118,18 +116,18 @@
   return [...hosts.values()];
 }
 
-/** Rows that are not too old, the newest last. */
+/** Rows that have not expired, newest last. */
 function liveRows(reading: RowReading): Row[] {
   return reading.rows
     .map((row) => readJson(Row, row.value))
     .filter((row) => row !== undefined)
-    .filter((row) => Math.abs(ageOf(row, reading)) < ROW_LIFE_MS)
+    .filter((row) => Math.abs(ageOf(row, reading)) < ROW_TTL_MS)
     .sort((a, b) => a.writtenMs - b.writtenMs);
 }
 
 /**
- * How long ago a row was written. Negative where the store's clock went back with
- * its rows: then the row is of an earlier era.
+ * Time since the row was written. Negative if the store was restored and its
+ * clock went back: the row is then of an earlier era.
  */
 function ageOf(row: Row, { nowMs }: RowReading): Milliseconds {
   return nowMs - row.writtenMs;
--- a/src/gateway/peers/host_schema.ts
+++ b/src/gateway/peers/host_schema.ts
@@ -1,7 +1,7 @@
-/** The schema of a host's entry where hosts tell each other of it. */
+/** The schema of host entries in messages between hosts. */
 import * as z from "zod";
 
-/** Reads a `HostEntry`. */
+/** Parses a `HostEntry`. */
 export const HostEntrySchema = z.object({
   id: z.string(),
   address: z.string(),
--- a/src/gateway/peers/link.ts
+++ b/src/gateway/peers/link.ts
@@ -1,11 +1,11 @@
-/** A long-lived connection over which lines of JSON go both ways. */
+/** A long-lived connection that carries lines of JSON in both directions. */
 import { type IncomingMessage, request } from "node:http";
 import type { Writable } from "node:stream";
 import { parseAddress } from "../../util/address.ts";
 import type { Milliseconds } from "../../util/units.ts";
 import type { Clock } from "../clock.ts";
 
-/** The links that a host serves, by their path on the peers' address. */
+/** Paths, on a host's peer address, of the links that it accepts. */
 export const LinkPath = {
   /** To the planner of a service. */
   plan: "/plan",
@@ -19,55 +19,66 @@
 /** One of the values of {@link LinkPath}. */
 export type LinkPath = typeof LinkPath[keyof typeof LinkPath];
 
-/** Header with the asking host's name. */
+/** Header with the name of the host that opens the link. */
 export const LINK_HOST_HEADER = "otterhill-host";
-const CONNECT_MS = 400;
+const CONNECT_TIMEOUT_MS = 400;
 /**
- * How one end of a link keeps it alive: it sends a line at least every
- * `pingMs`, and takes the link for dead after `silentMs` without one. While the
- * link is busy the short times hold, else the long ones.
+ * Heartbeat of one end of a link: it sends a line at least every
+ * `pingIntervalMs`, and closes the link if nothing arrives for `timeoutMs`. The
+ * `busy` times apply for {@link BUSY_PERIOD_MS} after a message from the
+ * opener.
  */
-type Heartbeat = {
+type HeartbeatPolicy = {
   readonly busy: HeartbeatTimes;
   readonly idle: HeartbeatTimes;
 };
 type HeartbeatTimes = {
-  readonly pingMs: Milliseconds;
-  readonly silentMs: Milliseconds;
+  readonly pingIntervalMs: Milliseconds;
+  readonly timeoutMs: Milliseconds;
 };
-const IDLE: HeartbeatTimes = { pingMs: 1000, silentMs: 3100 };
+const IDLE_TIMES: HeartbeatTimes = { pingIntervalMs: 1000, timeoutMs: 3100 };
 /**
- * Who opened a link waits for answers, so once it has sent something it must
- * soon know that the other side is gone: three heartbeats within an objective
- * of about a second. The side that answers has time: a place of a lost host is
- * only memory that is free sooner or later. Heartbeats are most of what a host
- * does at rest (docs/CAPACITY.md), so an idle link has few.
+ * The opener of a link waits for responses, so after it has sent a message it
+ * must detect an unreachable acceptor within about a second. The acceptor may
+ * take longer: until then, only the resources of a lost opener remain reserved.
+ * Idle links ping less often, to limit the load of an idle host.
  */
-const OPENED: Heartbeat = { busy: { ...IDLE, silentMs: 900 }, idle: IDLE };
-const ACCEPTED: Heartbeat = { busy: { ...IDLE, pingMs: 290 }, idle: IDLE };
+const OPENER_HEARTBEAT: HeartbeatPolicy = {
+  busy: { ...IDLE_TIMES, timeoutMs: 900 },
+  idle: IDLE_TIMES,
+};
+const ACCEPTOR_HEARTBEAT: HeartbeatPolicy = {
+  busy: { ...IDLE_TIMES, pingIntervalMs: 290 },
+  idle: IDLE_TIMES,
+};
 /**
- * Hosts that share something with the other openers of a link have to notice
- * together that the other side is gone, also those that ask nothing just then,
- * and the other side has to notice that they have left: three heartbeats of
- * 400 ms.
+ * Times for links whose openers share state at the acceptor, such as a quota.
+ * All openers must detect a lost acceptor at about the same time, even when
+ * idle, and the acceptor must detect a lost opener.
  */
-const WATCHFUL: HeartbeatTimes = { pingMs: 400, silentMs: 1300 };
-const WATCHFUL_OPENED: Heartbeat = {
-  busy: { ...WATCHFUL, silentMs: OPENED.busy.silentMs },
-  idle: WATCHFUL,
+const MONITORED_TIMES: HeartbeatTimes = {
+  pingIntervalMs: 400,
+  timeoutMs: 1300,
+};
+const MONITORED_OPENER_HEARTBEAT: HeartbeatPolicy = {
+  busy: { ...MONITORED_TIMES, timeoutMs: OPENER_HEARTBEAT.busy.timeoutMs },
+  idle: MONITORED_TIMES,
 };
-const WATCHFUL_ACCEPTED: Heartbeat = {
-  busy: { ...WATCHFUL, pingMs: ACCEPTED.busy.pingMs },
-  idle: WATCHFUL,
+const MONITORED_ACCEPTOR_HEARTBEAT: HeartbeatPolicy = {
+  busy: {
+    ...MONITORED_TIMES,
+    pingIntervalMs: ACCEPTOR_HEARTBEAT.busy.pingIntervalMs,
+  },
+  idle: MONITORED_TIMES,
 };
 /**
- * A link is busy for so long after a line of its opener; longer than the opener
- * needs to notice that nobody answers it.
+ * Time for which a link counts as busy after a message from its opener. Must
+ * exceed the busy timeout of the opener.
  */
-const BUSY_MS = 1000;
+const BUSY_PERIOD_MS = 1000;
 const PING_LINE = '{"type":"ping"}\n';
-/** A peer that does not read is cut off at this many waiting bytes. */
-const UNSENT_LIMIT = 1 << 20;
+/** The link is closed if more than this is buffered for a slow reader. */
+const MAX_UNSENT_BYTES = 1 << 20;
 
 /** One end of a link. */
 export type Link = {
@@ -75,147 +86,161 @@
   close(): void;
 };
 
-/** What happens on a link. */
+/** Callbacks of a link. */
 export type LinkEvents = {
-  /** The other side has answered. */
+  /** The acceptor has responded. */
   ready?(): void;
   line(text: string): void;
-  /** Once, when the link ends for whatever reason. */
+  /** Called once, when the link closes for any reason. */
   closed(): void;
 };
 
-/** Where a link leads, and from whom. */
+/** The remote end of a link, and the options for opening it. */
 export type LinkTarget = {
   readonly address: string;
   readonly path: LinkPath;
+  /** Name of the host that opens the link. */
   readonly self: string;
   readonly clock: Clock;
-  /** A link at rest is watched closely, too; both ends have to say so. */
-  readonly isWatchful?: boolean;
+  /** Uses short heartbeat times when idle, too; must be set at both ends. */
+  readonly isCloselyMonitored?: boolean;
 };
 
-/** Opens a link to a host; `closed` tells also that none came about. */
-export function openLink(source: LinkTarget, events: LinkEvents): Link {
-  const place = parseAddress(source.address);
-  const sending = request({
-    host: place?.host,
-    port: place?.port,
+/** Opens a link to a host; `closed` is also called if that fails. */
+export function openLink(target: LinkTarget, events: LinkEvents): Link {
+  const address = parseAddress(target.address);
+  const outgoing = request({
+    host: address?.host,
+    port: address?.port,
     method: "POST",
-    path: source.path,
-    headers: { [LINK_HOST_HEADER]: source.self },
+    path: target.path,
+    headers: { [LINK_HOST_HEADER]: target.self },
     agent: false,
   });
-  sending.flushHeaders();
-  const end = makeEnd(sending, {
-    clock: source.clock,
-    beat: source.isWatchful ? WATCHFUL_OPENED : OPENED,
+  outgoing.flushHeaders();
+  const end = createLinkEnd(outgoing, {
+    clock: target.clock,
+    heartbeat: target.isCloselyMonitored
+      ? MONITORED_OPENER_HEARTBEAT
+      : OPENER_HEARTBEAT,
     isOpener: true,
     events,
   });
-  const cancel = source.clock.after(CONNECT_MS, () => end.close());
-  sending.on("response", (answer) => {
+  const cancel = target.clock.after(CONNECT_TIMEOUT_MS, () => end.close());
+  outgoing.on("response", (response) => {
     cancel();
     events.ready?.();
-    end.read(answer);
+    end.read(response);
   });
   return end;
 }
 
-/** Takes a link that a host has opened. */
+/** Accepts a link that a host has opened. */
 export function acceptLink(
   incoming: IncomingMessage,
-  answer: Writable,
-  source: Pick<LinkTarget, "clock" | "isWatchful"> & {
+  response: Writable,
+  options: Pick<LinkTarget, "clock" | "isCloselyMonitored"> & {
     readonly events: LinkEvents;
   },
 ): Link {
-  const beat = source.isWatchful ? WATCHFUL_ACCEPTED : ACCEPTED;
-  const end = makeEnd(answer, { ...source, beat, isOpener: false });
+  const heartbeat = options.isCloselyMonitored
+    ? MONITORED_ACCEPTOR_HEARTBEAT
+    : ACCEPTOR_HEARTBEAT;
+  const end = createLinkEnd(response, {
+    ...options,
+    heartbeat,
+    isOpener: false,
+  });
   end.read(incoming);
   return end;
 }
 
-type End = Link & { read(from: IncomingMessage): void };
+type LinkEnd = Link & { read(from: IncomingMessage): void };
 
-type EndSource = {
+type LinkEndOptions = {
   readonly clock: Clock;
-  readonly beat: Heartbeat;
+  readonly heartbeat: HeartbeatPolicy;
   readonly isOpener: boolean;
   readonly events: LinkEvents;
 };
 
-/** The timers of one end: when it pings, and when it gives the link up. */
+/** The timers of one end of a link: for pings, and for closing the link. */
 class Keepalive {
   readonly #clock: Clock;
-  readonly #beat: Heartbeat;
-  readonly #on: { ping(): void; silent(): void };
+  readonly #heartbeat: HeartbeatPolicy;
+  readonly #callbacks: { ping(): void; timedOut(): void };
   #busyUntil: Milliseconds = -Infinity;
-  #heardAt: Milliseconds | undefined;
+  #receivedAt: Milliseconds | undefined;
   #cancelPing = () => {};
-  #cancelSilence = () => {};
+  #cancelTimeout = () => {};
 
   constructor(
-    { clock, beat }: Pick<EndSource, "clock" | "beat">,
-    on: { ping(): void; silent(): void },
+    { clock, heartbeat }: Pick<LinkEndOptions, "clock" | "heartbeat">,
+    callbacks: { ping(): void; timedOut(): void },
   ) {
     this.#clock = clock;
-    this.#beat = beat;
-    this.#on = on;
-    this.#armPing();
+    this.#heartbeat = heartbeat;
+    this.#callbacks = callbacks;
+    this.#schedulePing();
   }
 
   get #times(): HeartbeatTimes {
     const isBusy = this.#clock.now() < this.#busyUntil;
-    return isBusy ? this.#beat.busy : this.#beat.idle;
+    return isBusy ? this.#heartbeat.busy : this.#heartbeat.idle;
   }
 
-  /** A line of the opener has gone or come. */
+  /** Records that the opener has sent a message. */
   noteBusy(): void {
     const wasBusy = this.#clock.now() < this.#busyUntil;
-    this.#busyUntil = this.#clock.now() + BUSY_MS;
+    this.#busyUntil = this.#clock.now() + BUSY_PERIOD_MS;
     if (wasBusy) return;
-    this.#armPing();
-    if (this.#heardAt !== undefined) this.#armSilence(this.#times.silentMs);
+    this.#schedulePing();
+    if (this.#receivedAt !== undefined) {
+      this.#scheduleTimeout(this.#times.timeoutMs);
+    }
   }
 
-  /** The other side has said something. */
-  noteHeard(): void {
-    this.#heardAt = this.#clock.now();
-    this.#armSilence(this.#times.silentMs);
+  /** Records that something has arrived. */
+  noteReceived(): void {
+    this.#receivedAt = this.#clock.now();
+    this.#scheduleTimeout(this.#times.timeoutMs);
   }
 
   stop(): void {
     this.#cancelPing();
-    this.#cancelSilence();
+    this.#cancelTimeout();
   }
 
-  #armPing(): void {
+  #schedulePing(): void {
     this.#cancelPing();
-    this.#cancelPing = this.#clock.after(this.#times.pingMs, () => {
-      this.#on.ping();
-      this.#armPing();
+    this.#cancelPing = this.#clock.after(this.#times.pingIntervalMs, () => {
+      this.#callbacks.ping();
+      this.#schedulePing();
     });
   }
 
-  #armSilence(afterMs: Milliseconds): void {
-    this.#cancelSilence();
-    this.#cancelSilence = this.#clock.after(afterMs, () => this.#atSilence());
+  #scheduleTimeout(afterMs: Milliseconds): void {
+    this.#cancelTimeout();
+    this.#cancelTimeout = this.#clock.after(
+      afterMs,
+      () => this.#checkTimeout(),
+    );
   }
 
-  /** An end that became idle meanwhile waits for longer. */
-  #atSilence(): void {
-    const silentMs = this.#clock.now() - (this.#heardAt ?? -Infinity);
-    const leftMs = this.#times.silentMs - silentMs;
-    const gaveUpBusy = this.#clock.now() < this.#busyUntil;
-    if (gaveUpBusy || leftMs <= 0) return this.#on.silent();
-    this.#armSilence(leftMs);
+  /** Reports the timeout, unless the link became idle and has time left. */
+  #checkTimeout(): void {
+    const silentMs = this.#clock.now() - (this.#receivedAt ?? -Infinity);
+    const leftMs = this.#times.timeoutMs - silentMs;
+    const isBusy = this.#clock.now() < this.#busyUntil;
+    if (isBusy || leftMs <= 0) return this.#callbacks.timedOut();
+    this.#scheduleTimeout(leftMs);
   }
 }
 
-function makeEnd(
+function createLinkEnd(
   out: Writable,
-  { clock, beat, isOpener, events }: EndSource,
-): End {
+  { clock, heartbeat, isOpener, events }: LinkEndOptions,
+): LinkEnd {
   let open = true;
   const close = () => {
     if (!open) return;
@@ -224,20 +249,20 @@
     out.destroy();
     events.closed();
   };
-  let isQuiet = true;
+  let isPingDue = true;
   const write = (line: string) => {
     if (!open) return;
-    isQuiet = false;
-    if (out.writableLength > UNSENT_LIMIT) return close();
+    isPingDue = false;
+    if (out.writableLength > MAX_UNSENT_BYTES) return close();
     out.write(line);
   };
-  const keepalive = new Keepalive({ clock, beat }, {
-    // What is sent says as much as a ping: one goes only after silence.
+  const keepalive = new Keepalive({ clock, heartbeat }, {
+    // Other messages count as heartbeats: pings only if none was sent.
     ping: () => {
-      if (isQuiet) write(PING_LINE);
-      isQuiet = true;
+      if (isPingDue) write(PING_LINE);
+      isPingDue = true;
     },
-    silent: close,
+    timedOut: close,
   });
   out.on("error", close);
   out.on("close", close);
@@ -249,25 +274,25 @@
     },
     close,
     read: (from) => {
-      keepalive.noteHeard();
+      keepalive.noteReceived();
       from.on("error", close);
       from.on("close", close);
       readLines(from, (line) => {
         const isPing = line.startsWith('{"type":"ping"');
         if (!isPing && !isOpener) keepalive.noteBusy();
-        keepalive.noteHeard();
+        keepalive.noteReceived();
         if (!isPing) events.line(line);
       });
     },
   };
 }
 
-function readLines(from: IncomingMessage, take: (line: string) => void): void {
+function readLines(from: IncomingMessage, work: (line: string) => void): void {
   let rest = "";
   from.setEncoding("utf8");
   from.on("data", (text: string) => {
     const lines = (rest + text).split("\n");
     rest = lines.pop() ?? "";
-    for (const line of lines) if (line !== "") take(line);
+    for (const line of lines) if (line !== "") work(line);
   });
 }
--- a/src/gateway/peers/news_sharing.ts
+++ b/src/gateway/peers/news_sharing.ts
@@ -1,67 +1,70 @@
 /**
- * Tells the hosts that this one has links to what becomes known here, and
- * passes on what they tell. The links of the state of the fleet are a tree over
- * all hosts that reach each other; what is news goes over each of them once.
+ * Broadcasts updates to the hosts at the other ends of this host's links, and
+ * forwards the updates that arrive from them. The links form a tree over all
+ * hosts that can reach each other, so an update passes each link once.
  */
 import type { Milliseconds } from "../../util/units.ts";
 import type { Clock } from "../clock.ts";
 import type { Link } from "./link.ts";
 
-/** What is shared, and over which links. */
-export type SharedNews<News> = {
+/** Options of the broadcaster of one kind of update. */
+export type UpdateBroadcasterOptions<Update> = {
   readonly clock: Clock;
   /**
-   * Least time between two messages over a link. The first piece of news goes
-   * at once; what comes within this time after it is gathered, so whatever
-   * happens to many replicas costs a link no more messages.
+   * Minimum time between two broadcasts. The first update is sent at once;
+   * updates within this time after it are batched, which limits the messages
+   * per link when many replicas change at once.
    */
   readonly gatherMs: Milliseconds;
-  /** The links that stand. */
+  /** The links that are open. */
   readonly links: () => readonly Link[];
-  /** All that is known here. */
-  readonly all: () => News;
-  /** One piece of news of several, the newest last. */
-  readonly merge: (several: readonly News[]) => News;
-  /** The message for other hosts; undefined when there is nothing to tell. */
-  readonly encode: (news: News) => object | undefined;
+  /** Everything known to this host, as one update. */
+  readonly all: () => Update;
+  /** Merges updates, which are ordered with the newest last. */
+  readonly merge: (updates: readonly Update[]) => Update;
+  /** The message for other hosts; undefined if the update is empty. */
+  readonly encode: (update: Update) => object | undefined;
 };
 
-/** Shares one kind of news with the hosts at the other ends of links. */
-export class NewsSharing<News> {
-  readonly #source: SharedNews<News>;
-  #pending: { readonly news: News; readonly from: unknown }[] = [];
+/** Broadcasts one kind of update over all links. */
+export class NewsSharing<Update> {
+  readonly #options: UpdateBroadcasterOptions<Update>;
+  #pending: { readonly update: Update; readonly from: unknown }[] = [];
   #flushedAt: Milliseconds = -Infinity;
 
-  constructor(source: SharedNews<News>) {
-    this.#source = source;
+  constructor(options: UpdateBroadcasterOptions<Update>) {
+    this.#options = options;
   }
 
-  /** A link stands: its other end is told all, for it may know nothing. */
+  /** Sends everything known over a link that has just been opened. */
   greet(link: Link): void {
-    this.#send(link, this.#source.all());
+    this.#send(link, this.#options.all());
   }
 
-  /** Something became known; `from` is the link it came over, if any. */
-  share(news: News, from: unknown): void {
-    this.#pending.push({ news, from });
+  /**
+   * Broadcasts an update, except over the link `from` on which it arrived, if
+   * any.
+   */
+  share(update: Update, from: unknown): void {
+    this.#pending.push({ update, from });
     if (this.#pending.length > 1) return;
-    const { clock, gatherMs } = this.#source;
+    const { clock, gatherMs } = this.#options;
     const waitMs = this.#flushedAt + gatherMs - clock.now();
     clock.after(Math.max(0, waitMs), () => this.#flush());
   }
 
   #flush(): void {
-    this.#flushedAt = this.#source.clock.now();
+    this.#flushedAt = this.#options.clock.now();
     const pending = this.#pending;
     this.#pending = [];
-    for (const link of this.#source.links()) {
+    for (const link of this.#options.links()) {
       const others = pending.filter(({ from }) => from !== link);
-      this.#send(link, this.#source.merge(others.map(({ news }) => news)));
+      this.#send(link, this.#options.merge(others.map(({ update }) => update)));
     }
   }
 
-  #send(link: Link, news: News): void {
-    const message = this.#source.encode(news);
+  #send(link: Link, update: Update): void {
+    const message = this.#options.encode(update);
     if (message) link.send(message);
   }
 }
--- a/src/gateway/peers/peer_loop.ts
+++ b/src/gateway/peers/peer_loop.ts
@@ -1,4 +1,4 @@
-/** Asks peers for state while the store does not answer this host. */
+/** Loops that write this host's row, discover hosts and poll peers. */
 import type { Milliseconds } from "../../util/units.ts";
 import { sleep } from "../clock.ts";
 import type { GatewayContext } from "../context.ts";
@@ -15,30 +15,29 @@
 } from "./host_rows.ts";
 import { type PeerQuestions, PeerSubject } from "./peer_questions.ts";
 
-/** Without an answer of the store for so long, peers are asked. */
-const STORE_SILENT_MS = 1300;
-const ASK_MS = 400;
-/** A host without a configuration can serve nothing: it asks more often. */
-const FIRST_ASK_MS = 100;
-/** Questions that may wait for their answers at a time. */
-const MOST_OPEN_QUESTIONS = 3;
-/** Time after which a host writes its row again. */
-const ROW_MS = 20_000;
-/** A row is written so soon after the followers have changed. */
-const ROW_CHECK_MS = 1000;
-/** A starting host that knows others of its hall leaves its row to them. */
-const FIRST_ROW_MS = 2000;
-/** The reader of a hall looks for new hosts so often. */
-const LOOK_MS = 4000;
-/** At the start all hosts come up together: they look more often. */
-const FIRST_LOOKS_MS = [1500, 3000];
-const ROW_FAILED_MS = 2000;
-const STORE_TIMEOUT_MS = 1500;
-/** From whom crashes come that rows tell of. */
-const ROWS = "rows";
+/** Peers are polled after this time without a response from the store. */
+const STORE_UNAVAILABLE_AFTER_MS = 1300;
+const POLL_INTERVAL_MS = 400;
+/** Used until the host has a configuration, without which it can't serve. */
+const STARTUP_POLL_INTERVAL_MS = 100;
+const MAX_PENDING_REQUESTS = 3;
+/** Interval at which an unchanged row is written again. */
+const ROW_INTERVAL_MS = 20_000;
+/** Interval at which a change of the row's content is detected. */
+const ROW_CHECK_INTERVAL_MS = 1000;
+/** Delay of a new host's row if its hall has other hosts, which may list it. */
+const FIRST_ROW_DELAY_MS = 2000;
+/** Interval at which a host that follows no reader reads the list of hosts. */
+const DISCOVERY_INTERVAL_MS = 4000;
+/** The first delays are shorter, since all hosts may start at the same time. */
+const STARTUP_DISCOVERY_DELAYS_MS = [1500, 3000];
+const ROW_RETRY_DELAY_MS = 2000;
+const STORE_CALL_TIMEOUT_MS = 1500;
+/** Origin of crash records that are read from rows. */
+const CRASHES_FROM_ROWS = "rows";
 
-/** What the loops need. */
-export type PeerLoopSource = {
+/** Options of the loops. */
+export type PeerLoopOptions = {
   readonly context: GatewayContext;
   readonly self: HostEntry;
   readonly store: Store;
@@ -47,123 +46,130 @@
   readonly questions: PeerQuestions;
   /** Hosts that follow this one. */
   followers(): readonly HostEntry[];
-  /** The host that this one follows is of its hall and names it in its row. */
+  /** Whether this host follows one of its hall that lists it in its row. */
   isNamedByReader(): boolean;
 };
 
-/** Runs the loops for as long as the process lives. */
-export function startPeerLoops(source: PeerLoopSource): void {
-  void keepRow(source);
-  void findHosts(source);
-  void askPeers(source);
+/** Starts the loops, which run until the process ends. */
+export function startPeerLoops(options: PeerLoopOptions): void {
+  void maintainRow(options);
+  void discoverHosts(options);
+  void pollPeers(options);
 }
 
 /**
- * Writes the row of this host and its followers now and then, and soon after a
- * change. A host of whom another writes has no row to keep.
+ * Writes the row of this host and its followers periodically and after changes,
+ * unless the reader lists this host in its own row.
  */
-async function keepRow(source: PeerLoopSource): Promise<void> {
-  const { context: { clock, crashes, eras }, self } = source;
+async function maintainRow(options: PeerLoopOptions): Promise<void> {
+  const { context: { clock, crashes, eras }, self } = options;
   let written:
-    | { readonly at: Milliseconds; readonly names: string }
+    | { readonly at: Milliseconds; readonly content: string }
     | undefined;
-  if (await findNeighbours(source)) await sleep(clock, FIRST_ROW_MS);
+  if (await findHallHosts(options)) await sleep(clock, FIRST_ROW_DELAY_MS);
   for (;;) {
-    const hosts = [self, ...source.followers()];
+    const hosts = [self, ...options.followers()];
     const worst = crashes.worst();
-    const crashed = worst.records.map((one) =>
-      `${one.fingerprint} ${one.incarnation}`
+    const crashed = worst.records.map((record) =>
+      `${record.fingerprint} ${record.incarnation}`
     );
-    // What the store lost of this row is written again once the era is settled.
+    // The era is part of the content: a restored store may have lost the row.
     const era = eras.isSettled(clock.now()) && eras.era > 0
       ? eras.era
       : undefined;
-    const names = [...hosts.map((one) => one.id), ...crashed, `era ${era}`]
+    const content = [...hosts.map((host) => host.id), ...crashed, `era ${era}`]
       .sort().join();
-    const isDue = written === undefined || names !== written.names ||
-      clock.now() - written.at >= ROW_MS;
-    if (isDue && !source.isNamedByReader()) {
+    const isDue = written === undefined || content !== written.content ||
+      clock.now() - written.at >= ROW_INTERVAL_MS;
+    if (isDue && !options.isNamedByReader()) {
       const row = { writer: self.id, hosts, crashes: worst, era };
-      const read = await callStore(
-        source,
+      const reading = await callStore(
+        options,
         "row",
         (call) => exchangeRows(call, row),
       );
-      if (read) takeReading(source, read);
-      written = read ? { at: clock.now(), names } : undefined;
+      if (reading) applyReading(options, reading);
+      written = reading ? { at: clock.now(), content } : undefined;
     }
-    const isCalm = written !== undefined || source.isNamedByReader();
-    await sleep(clock, isCalm ? ROW_CHECK_MS : ROW_FAILED_MS);
+    const isUpToDate = written !== undefined || options.isNamedByReader();
+    await sleep(clock, isUpToDate ? ROW_CHECK_INTERVAL_MS : ROW_RETRY_DELAY_MS);
   }
 }
 
 function callStore<Value>(
-  { context: { clock, events }, store }: PeerLoopSource,
+  { context: { clock, events }, store }: PeerLoopOptions,
   call: string,
   work: (call: HostRowCall) => Promise<Value>,
 ): Promise<Value | undefined> {
   const now = () => clock.now();
   return within({
     clock,
-    timeoutMs: STORE_TIMEOUT_MS,
+    timeoutMs: STORE_CALL_TIMEOUT_MS,
     work: (signal) => work({ store, now, signal }),
     onFault: (reason) => events.note("callFailed", { call, reason }),
   });
 }
 
-function takeReading(
-  { context: { clock, crashes, eras }, directory }: PeerLoopSource,
+function applyReading(
+  { context: { clock, crashes, eras }, directory }: PeerLoopOptions,
   reading: HostReading,
 ): void {
   const { settledEra } = reading;
   if (settledEra !== undefined) {
     eras.hear(positionOf(settledEra, 0), clock.now(), { isSettled: true });
   }
-  directory.learnAll(reading.hosts, clock.now());
-  for (const one of reading.crashes) crashes.take(one, ROWS);
+  directory.addFromStore(reading.hosts, clock.now());
+  for (const update of reading.crashes) crashes.take(update, CRASHES_FROM_ROWS);
 }
 
-/** Reads the hosts; whether one of this hall is among them. */
-async function findNeighbours(source: PeerLoopSource): Promise<boolean> {
-  const { self } = source;
-  const read = await callStore(source, "hosts", readHosts);
-  if (!read) return false;
-  takeReading(source, read);
-  return read.hosts.some(({ id, hall }) =>
+/** Reads the hosts, and returns whether another one is in this hall. */
+async function findHallHosts(options: PeerLoopOptions): Promise<boolean> {
+  const { self } = options;
+  const reading = await callStore(options, "hosts", readHosts);
+  if (!reading) return false;
+  applyReading(options, reading);
+  return reading.hosts.some(({ id, hall }) =>
     hall === self.hall && id !== self.id
   );
 }
 
-/** Looks for new hosts, unless the reader of the hall tells of them. */
-async function findHosts(source: PeerLoopSource): Promise<void> {
-  const { context: { clock }, synchronizer } = source;
-  const pauses = [...FIRST_LOOKS_MS];
+/** Reads the hosts periodically, unless the reader of the hall reports them. */
+async function discoverHosts(options: PeerLoopOptions): Promise<void> {
+  const { context: { clock }, synchronizer } = options;
+  const delays = [...STARTUP_DISCOVERY_DELAYS_MS];
   for (;;) {
-    await sleep(clock, pauses.shift() ?? LOOK_MS);
+    await sleep(clock, delays.shift() ?? DISCOVERY_INTERVAL_MS);
     if (synchronizer.isTold(clock.now())) continue;
-    const read = await callStore(source, "hosts", readHosts);
-    if (read) takeReading(source, read);
+    const reading = await callStore(options, "hosts", readHosts);
+    if (reading) applyReading(options, reading);
   }
 }
 
 /**
- * While the store says nothing, a peer is asked each {@link ASK_MS}, also while
- * an earlier one still owes its answer: it may be cut off, or its answer long.
+ * While the store does not respond, polls a random peer every
+ * {@link POLL_INTERVAL_MS}. Does not wait for earlier peers to respond: they may
+ * be unreachable, or may send a large response.
  */
-async function askPeers(source: PeerLoopSource): Promise<void> {
-  const { context, directory, synchronizer, questions } = source;
+async function pollPeers(options: PeerLoopOptions): Promise<void> {
+  const { context, directory, synchronizer, questions } = options;
   const { clock, random } = context;
-  let open = 0;
+  let pending = 0;
   for (;;) {
-    const knowsRoutes = context.routes.config !== undefined;
+    const hasRoutes = context.routes.config !== undefined;
     const freshMs = synchronizer.freshForMs(clock.now());
-    await sleep(clock, knowsRoutes ? Math.max(ASK_MS, freshMs) : FIRST_ASK_MS);
-    const isSilent = synchronizer.storeAgeMs(clock.now()) >= STORE_SILENT_MS;
-    if (!isSilent || open >= MOST_OPEN_QUESTIONS) continue;
+    await sleep(
+      clock,
+      hasRoutes
+        ? Math.max(POLL_INTERVAL_MS, freshMs)
+        : STARTUP_POLL_INTERVAL_MS,
+    );
+    const isUnavailable =
+      synchronizer.storeAgeMs(clock.now()) >= STORE_UNAVAILABLE_AFTER_MS;
+    if (!isUnavailable || pending >= MAX_PENDING_REQUESTS) continue;
     const addresses = directory.addresses();
     const address = addresses[Math.floor(random() * addresses.length)];
     if (address === undefined) continue;
-    open += 1;
-    void questions.ask(address, PeerSubject.state).then(() => open -= 1);
+    pending += 1;
+    void questions.ask(address, PeerSubject.state).then(() => pending -= 1);
   }
 }
--- a/src/gateway/peers/peer_questions.ts
+++ b/src/gateway/peers/peer_questions.ts
@@ -1,4 +1,4 @@
-/** Asks peers for the state that they have and this host lacks. */
+/** Requests state from peers that is newer than this host's. */
 import type { Milliseconds } from "../../util/units.ts";
 import type { GatewayContext } from "../context.ts";
 import { revisionOf } from "../position.ts";
@@ -6,17 +6,21 @@
 import { within } from "../state/within.ts";
 import type { JsonClient } from "../upstreams/json_client.ts";
 import type { HostDirectory } from "./directory.ts";
-import { type PeerState, questionPath, readPeerState } from "./peer_state.ts";
+import {
+  type PeerState,
+  readPeerState,
+  stateRequestPath,
+} from "./peer_state.ts";
 
 /**
- * Longest wait for a peer's answer, which may be a large configuration or the
- * listing of a large fleet over a slow link.
+ * Allows for a large configuration, or the listing of a large fleet, over a
+ * slow connection.
  */
-const ANSWER_TIMEOUT_MS = 1500;
+const RESPONSE_TIMEOUT_MS = 1500;
 
-/** What is asked for. */
+/** The part of a peer's state that is requested. */
 export const PeerSubject = {
-  /** All that the peer has and this host lacks. */
+  /** Everything that is newer than this host's state. */
   state: "state",
   /** The configuration only. */
   config: "config",
@@ -24,63 +28,65 @@
 /** One of the values of {@link PeerSubject}. */
 export type PeerSubject = typeof PeerSubject[keyof typeof PeerSubject];
 
-/** What questions are asked with. */
-export type PeerQuestionsSource = {
+/** Options of the client. */
+export type PeerClientOptions = {
   readonly context: GatewayContext;
   readonly directory: HostDirectory;
   readonly synchronizer: Synchronizer;
-  /** Makes a client of a peer's address. */
+  /** Creates an HTTP client for a peer's address. */
   readonly createClient: (address: string) => JsonClient;
 };
 
-/** Asks peers, over kept connections. */
+/** Requests state from peers, with one HTTP client for each address. */
 export class PeerQuestions {
-  readonly #source: PeerQuestionsSource;
+  readonly #options: PeerClientOptions;
   readonly #clients = new Map<string, JsonClient>();
 
-  constructor(source: PeerQuestionsSource) {
-    this.#source = source;
+  constructor(options: PeerClientOptions) {
+    this.#options = options;
   }
 
-  /** Takes what a peer has; resolves when it has answered or will not. */
+  /**
+   * Requests a peer's state and applies it; never rejects on a failed request.
+   */
   async ask(address: string, subject: PeerSubject): Promise<void> {
-    const { context, synchronizer } = this.#source;
+    const { context, synchronizer } = this.#options;
     const { clock, events, routes, replicas, suspensions } = context;
-    const suspended = suspensions.check();
-    const askedAt = clock.now();
+    const suspensionsBefore = suspensions.check();
+    const requestedAt = clock.now();
     const isConfig = subject === PeerSubject.config;
-    const path = questionPath({
+    const path = stateRequestPath({
       version: routes.version,
       revision: isConfig ? Number.MAX_SAFE_INTEGER : replicas.revision,
     });
     const client = this.#clientOf(address);
-    const answer = await within({
+    const response = await within({
       clock,
-      timeoutMs: ANSWER_TIMEOUT_MS,
+      timeoutMs: RESPONSE_TIMEOUT_MS,
       work: (signal) => client.call({ method: "GET", path }, signal),
       onFault: (reason) =>
         events.note("callFailed", { call: "peer", address, reason }),
     });
-    const state = answer && readPeerState(answer.body);
+    const state = response && readPeerState(response.body);
     if (!state) return;
-    this.#take(state, address, clock.now());
+    this.#apply(state, address, clock.now());
     const { version, configAgeMs } = state;
     if (configAgeMs === undefined) return;
-    if (suspensions.check() !== suspended) return;
-    // The peer answered after it was asked, and its word is so much older.
-    synchronizer.noteNewest(version, askedAt - configAgeMs);
+    if (suspensions.check() !== suspensionsBefore) return;
+    // The age is counted from the request: the peer responded after it.
+    synchronizer.noteNewest(version, requestedAt - configAgeMs);
   }
 
   #clientOf(address: string): JsonClient {
-    const known = this.#clients.get(address);
-    if (known) return known;
-    const client = this.#source.createClient(address);
+    const existing = this.#clients.get(address);
+    if (existing) return existing;
+    const client = this.#options.createClient(address);
     this.#clients.set(address, client);
     return client;
   }
 
-  #take(state: PeerState, address: string, now: Milliseconds): void {
-    const { context, directory, synchronizer } = this.#source;
+  #apply(state: PeerState, address: string, now: Milliseconds): void {
+    const { context, directory, synchronizer } = this.#options;
     directory.learn(state.hosts, now);
     if (state.newest !== undefined) {
       synchronizer.noteHeard({ version: state.newest }, address);
--- a/src/gateway/peers/peer_state.ts
+++ b/src/gateway/peers/peer_state.ts
@@ -1,6 +1,7 @@
 /**
- * What hosts tell each other when the store turns one of them away: the
- * newest configuration and listing of replicas, and the hosts they know.
+ * Messages by which a host gets state from a peer while the store is
+ * unavailable: the newest configuration, the listing of replicas and the known
+ * hosts.
  */
 import * as z from "zod";
 import { readJson } from "../../util/read_json.ts";
@@ -13,29 +14,28 @@
   entries: z.array(ReplicaEntrySchema).readonly(),
 });
 
-/** The schema of a peer's answer. */
+/** The schema of a peer's response. */
 export const PeerStateSchema = z.object({
-  /** Absent: no newer than the asker's. */
+  /** Absent if the peer's is no newer than the requester's. */
   config: RouteConfigSchema.exactOptional(),
   listing: Listing.exactOptional(),
   hosts: z.array(HostEntrySchema).readonly(),
   /** Version of the peer's configuration. */
   version: z.number(),
-  /** The newest version that the peer has heard of; absent: its own. */
+  /** The newest version that the peer has observed; absent if it is its own. */
   newest: z.number().exactOptional(),
   /**
-   * No newer version was in the store so long before the peer answered;
-   * absent: the peer knows nothing of it.
+   * Time before the response at which the store had no newer version; absent if
+   * the peer has no such information.
    */
   configAgeMs: z.number().exactOptional(),
 });
 
-/** A peer's answer. */
+/** A peer's response. */
 export type PeerState = z.output<typeof PeerStateSchema>;
-/** A peer's answer as it is sent. */
+/** A peer's response in its encoded form. */
 export type PeerStateMessage = z.input<typeof PeerStateSchema>;
 
-/** An answer as the asker reads it. */
 export function encodePeerState(state: PeerState): PeerStateMessage {
   const { listing, ...rest } = state;
   if (!listing) return rest;
@@ -43,19 +43,19 @@
   return { ...rest, listing: { ...listing, entries } };
 }
 
-/** What the asker has: only newer state is told. */
-export type PeerQuestion = {
+/** A request for state that is newer than the requester's. */
+export type PeerStateRequest = {
   readonly version: number;
   readonly revision: number;
 };
 
-/** The path and query of a question. */
-export function questionPath(question: PeerQuestion): string {
-  return `/state?routes=${question.version}&replicas=${question.revision}`;
+/** The path and query of a request. */
+export function stateRequestPath(request: PeerStateRequest): string {
+  return `/state?routes=${request.version}&replicas=${request.revision}`;
 }
 
-/** Reads a question's query. */
-export function readQuestion(target: string): PeerQuestion {
+/** Parses the path and query of a request. */
+export function parseStateRequest(target: string): PeerStateRequest {
   const query = new URL(target, "http://peer").searchParams;
   return {
     version: Number(query.get("routes") ?? 0) || 0,
@@ -63,7 +63,7 @@
   };
 }
 
-/** Reads an answer; undefined when it is none. */
+/** Parses a response; undefined if it is malformed. */
 export function readPeerState(body: string): PeerState | undefined {
   return readJson(PeerStateSchema, body);
 }
--- a/src/gateway/peers/remote_clock.ts
+++ b/src/gateway/peers/remote_clock.ts
@@ -1,60 +1,62 @@
-/** Moments that another host tells, in terms of this host's clock. */
+/** Converts times of another host's clock to this host's clock. */
 import type { Milliseconds } from "../../util/units.ts";
 
 /**
- * Two monotonic clocks are taken to drift apart by this much at most, as a
- * share of the time passed: five times what quartz without any correction does
- * (100 ppm).
+ * Assumed maximum drift between two monotonic clocks, as a share of elapsed
+ * time.
  */
-const MOST_DRIFT = 500e-6;
+const MAX_DRIFT = 500e-6;
 
-/** What a host has heard of another's clock. */
+/**
+ * The times at which a message was sent and received, by either end's clock.
+ */
 export type ClockEcho = {
-  /** When something was sent, by the clock of its sender. */
+  /** Time of sending, by the sender's clock. */
   readonly sentAt: Milliseconds;
-  /** When it was heard, by the clock of its hearer. */
+  /** Time of receipt, by the receiver's clock. */
   readonly heardAt: Milliseconds;
 };
 
 type Bound = { readonly offsetMs: Milliseconds; readonly at: Milliseconds };
 
 /**
- * Another host's clock. A message may lie in buffers for seconds, and either
- * host may stand still, so the time at which it comes says little. But what was
- * sent at `sentAt` here was heard later: the other's clock showed `heardAt` at a
- * moment that was not before `sentAt`.
+ * Tracks a lower bound of the offset to another host's clock. A message may be
+ * buffered for seconds and either host may be stalled, so the time at which a
+ * message arrives is no measure. But a message that this host sent at `sentAt`
+ * was received later: the remote clock showed `heardAt` no earlier than
+ * `sentAt`.
  */
 export class RemoteClock {
-  /** The least that this host's clock is ahead of the other's. */
-  #least: Bound | undefined;
+  /** Lower bound of this host's clock minus the remote clock. */
+  #minOffset: Bound | undefined;
 
-  /** Takes an echo of what this host has sent. */
+  /** Applies the echo of a message that this host has sent. */
   note({ sentAt, heardAt }: ClockEcho, now: Milliseconds): void {
     const offsetMs: Milliseconds = sentAt - heardAt;
     if (this.#offsetAt(now) > offsetMs) return;
-    this.#least = { offsetMs, at: now };
+    this.#minOffset = { offsetMs, at: now };
   }
 
   /**
-   * This host's clock stood still: it is less far ahead than it was, and what was
-   * heard of the other's clock before would make its moments seem too late.
+   * Discards the bound. Needed after this host's clock was stopped: the offset
+   * has decreased, so converted times would be too late.
    */
   forget(): void {
-    this.#least = undefined;
+    this.#minOffset = undefined;
   }
 
   /**
-   * A moment of the other's clock by this host's, never later than it truly
-   * was, earlier by the time that an echoed message took; undefined before the
-   * first echo.
+   * Converts a time of the remote clock. The result is never too late; it is
+   * too early by the delay of the echoed message and the allowance for drift.
+   * Undefined before the first echo.
    */
-  toLocal(moment: Milliseconds, now: Milliseconds): Milliseconds | undefined {
-    return this.#least && moment + this.#offsetAt(now);
+  toLocal(remote: Milliseconds, now: Milliseconds): Milliseconds | undefined {
+    return this.#minOffset && remote + this.#offsetAt(now);
   }
 
   #offsetAt(now: Milliseconds): Milliseconds {
-    if (!this.#least) return -Infinity;
-    const { offsetMs, at } = this.#least;
-    return offsetMs - (now - at) * MOST_DRIFT;
+    if (!this.#minOffset) return -Infinity;
+    const { offsetMs, at } = this.#minOffset;
+    return offsetMs - (now - at) * MAX_DRIFT;
   }
 }
--- a/src/gateway/peers/server.ts
+++ b/src/gateway/peers/server.ts
@@ -1,4 +1,4 @@
-/** Tells peers the newest state that this host has. */
+/** Serves state requests and links of peers. */
 import { createServer, type Server } from "node:http";
 import type { Milliseconds } from "../../util/units.ts";
 import type { GatewayContext } from "../context.ts";
@@ -10,74 +10,77 @@
 import { LinkPath } from "./link.ts";
 import {
   encodePeerState,
-  type PeerQuestion,
+  parseStateRequest,
   type PeerState,
   type PeerStateMessage,
-  readQuestion,
+  type PeerStateRequest,
 } from "./peer_state.ts";
 
-/** What the peers' server tells from. */
-export type PeerServerSource = {
+/** Options of the peers' server. */
+export type PeerServerOptions = {
   readonly context: GatewayContext;
   readonly self: HostEntry;
   readonly directory: HostDirectory;
   readonly plans: PlanService;
   readonly states: StateServer;
   readonly quotas: QuotaOwner;
-  /** Of the limits that replicas name. */
+  /** Owner of the limits that replicas report. */
   readonly limits: QuotaOwner;
-  /** Age of what this host knows of the configuration; Infinity: it has none. */
+  /**
+   * Time since the store is known to have had no newer configuration; Infinity
+   * if this is not known.
+   */
   configAgeMs(now: Milliseconds): Milliseconds;
 };
 
-/** Makes the peers' server; it does not listen yet. */
+/** Creates the peers' server; the caller has to call `listen`. */
 export function createPeerServer(
-  source: PeerServerSource,
+  options: PeerServerOptions,
 ): Server {
-  const { plans, states, quotas, limits } = source;
+  const { plans, states, quotas, limits } = options;
   const server = createServer((request, response) => {
     if (request.url === LinkPath.plan) return plans.accept(request, response);
     if (request.url === LinkPath.state) return states.accept(request, response);
     if (request.url === LinkPath.quota) return quotas.accept(request, response);
     if (request.url === LinkPath.limit) return limits.accept(request, response);
     request.resume();
-    const body = JSON.stringify(answerTo(source, request.url ?? "/"));
+    const body = JSON.stringify(answerTo(options, request.url ?? "/"));
     response.writeHead(200, { "Content-Type": "application/json" });
     response.end(body);
   });
-  // A link's request has no end.
+  // The request of a link has no end, so it must not time out.
   server.requestTimeout = 0;
   return server;
 }
 
-/** The answer to a question by its path and query. */
+/** The response to a state request with this path and query. */
 export function answerTo(
-  source: Pick<
-    PeerServerSource,
+  options: Pick<
+    PeerServerOptions,
     "context" | "self" | "directory" | "configAgeMs"
   >,
   target: string,
 ): PeerStateMessage {
-  const { context, self, directory } = source;
+  const { context, self, directory } = options;
   const { routes } = context;
   const hosts = [self, ...directory.entries()];
-  const age = source.configAgeMs(context.clock.now());
+  const age = options.configAgeMs(context.clock.now());
   return {
-    ...encodePeerState(stateFor(context, readQuestion(target), hosts)),
+    ...encodePeerState(newerState(context, parseStateRequest(target), hosts)),
     ...(routes.isBehind ? { newest: routes.newestVersion } : {}),
     ...(Number.isFinite(age) ? { configAgeMs: Math.ceil(age) } : {}),
   };
 }
 
-/** What the asker does not have yet. */
-export function stateFor(
+/** The state that is newer than the requester's. */
+export function newerState(
   context: Pick<GatewayContext, "routes" | "replicas">,
-  question: PeerQuestion,
+  request: PeerStateRequest,
   hosts: readonly HostEntry[],
 ): PeerState {
   const { routes, replicas } = context;
-  const config = routes.version > question.version ? routes.config : undefined;
-  const newer = replicas.revision > question.revision;
+  const config = routes.version > request.version ? routes.config : undefined;
+  const newer = replicas.revision > request.revision;
   const { revision } = replicas;
   const listing = newer ? { revision, entries: replicas.entries() } : undefined;
   return {
--- a/src/gateway/quota/member.ts
+++ b/src/gateway/quota/member.ts
@@ -187,7 +187,7 @@
       path,
       self: self.id,
       clock,
-      isWatchful: true,
+      isCloselyMonitored: true,
     };
     const link = openLink(target, {
       line: (text) => this.#receiveLine(id, text),
--- a/src/gateway/quota/owner.ts
+++ b/src/gateway/quota/owner.ts
@@ -76,7 +76,11 @@
     this.join(
       name,
       (events) =>
-        acceptLink(incoming, response, { clock, isWatchful: true, events }),
+        acceptLink(incoming, response, {
+          clock,
+          isCloselyMonitored: true,
+          events,
+        }),
     );
   }
 
--- a/test/gateway/peers/directory_test.ts
+++ b/test/gateway/peers/directory_test.ts
@@ -1,4 +1,4 @@
-/** The directory of hosts and the orders that follow from it. */
+/** Tests the directory of hosts and the rendezvous orders derived from it. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { rendezvous } from "../../../src/util/rendezvous.ts";
@@ -10,9 +10,9 @@
   return { id, address, hall: "h" };
 }
 
-const LONG_MS = 61_000;
+const AFTER_TTL_MS = 61_000;
 
-test("entries stay the same array while no host changes", () => {
+test("entries() returns the same array as long as no host changes", () => {
   const directory = new HostDirectory(host("self"), []);
   directory.learn([host("a"), host("bb")], 0);
   const before = directory.entries();
@@ -24,24 +24,24 @@
   assert.equal(directory.entries()[0]?.address, "127.0.0.1:9");
 });
 
-test("hosts that nobody names, or that are told gone, are forgotten", () => {
+test("hosts are removed when reported as gone, or when the store no longer lists them", () => {
   const directory = new HostDirectory(host("self"), []);
   directory.learn([host("a"), host("bb"), host("ccc")], 0);
   directory.forget(["bb"]);
-  // Peers that a cut leaves don't say who has gone; the store does.
-  directory.learn([host("a")], LONG_MS);
-  assert.deepEqual(directory.entries().map((one) => one.id), ["a", "ccc"]);
-  directory.learnAll([host("a")], LONG_MS);
-  assert.deepEqual(directory.entries().map((one) => one.id), ["a"]);
+  // Only the store's list removes expired hosts, not that of a peer.
+  directory.learn([host("a")], AFTER_TTL_MS);
+  assert.deepEqual(directory.entries().map((entry) => entry.id), ["a", "ccc"]);
+  directory.addFromStore([host("a")], AFTER_TTL_MS);
+  assert.deepEqual(directory.entries().map((entry) => entry.id), ["a"]);
 });
 
-test("an order is that of rendezvous hashing, also after hosts change", () => {
+test("orders match rendezvous hashing, also after hosts change", () => {
   const directory = new HostDirectory(host("self"), []);
   const orders = new HostOrders("self");
   for (const id of ["a", "bb", "ccc", "dddd"]) {
     directory.learn([host(id)], 0);
     const hosts = directory.entries();
-    const ids = ["self", ...hosts.map((one) => one.id)];
+    const ids = ["self", ...hosts.map((entry) => entry.id)];
     assert.deepEqual(orders.of("key", hosts), rendezvous("key", ids));
     assert.equal(orders.of("key", hosts), orders.of("key", hosts));
   }
--- a/test/gateway/peers/host_rows_test.ts
+++ b/test/gateway/peers/host_rows_test.ts
@@ -1,4 +1,7 @@
-/** Who writes rows by which hosts find each other, and whom they name. */
+/**
+ * Tests which hosts write rows for host discovery, and which hosts the rows
+ * list.
+ */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { GatewayContext } from "../../../src/gateway/context.ts";
@@ -28,15 +31,15 @@
 ): RowReading {
   return {
     nowMs,
-    rows: rows.map((row, at) => ({
-      key: String(at),
+    rows: rows.map((row, index) => ({
+      key: String(index),
       value: JSON.stringify(row),
-      revision: at,
+      revision: index,
     })),
   };
 }
 
-test("hosts are those of rows that were written lately, as the newest has them", () => {
+test("rows that have not expired list the hosts, and the newest entry of a host wins", () => {
   const moved = host("b", "127.0.0.1:2");
   const rows = [
     { hosts: [host("a"), moved], writtenMs: 50_000 },
@@ -46,8 +49,8 @@
   assert.deepEqual(liveHosts(reading(rows, 61_000)), [moved, host("a")]);
 });
 
-/** Lets one host live with a store, in virtual time. */
-function live(
+/** Runs the loops of one host with a fake store, in virtual time. */
+function startHost(
   known: readonly HostEntry[],
   followers: (now: number) => readonly HostEntry[],
   isNamedByReader: (now: number) => boolean,
@@ -61,7 +64,7 @@
     readRows: () => Promise.resolve(reading(rows, time.now)),
     writeRow: ({ value }: RowWrite) => {
       const row = JSON.parse(value) as { hosts: HostEntry[] };
-      writes.push({ at: time.now, ids: row.hosts.map((one) => one.id) });
+      writes.push({ at: time.now, ids: row.hosts.map((entry) => entry.id) });
       return Promise.resolve({ type: "written", revision: 1, nowMs: 0 });
     },
   } as unknown as Store;
@@ -99,7 +102,7 @@
   const run = async (untilMs: number) => {
     for (; time.now < untilMs; time.now += 100) {
       await new Promise((resolve) => setImmediate(resolve));
-      for (const due of timers.filter((one) => one.at <= time.now)) {
+      for (const due of timers.filter((timer) => timer.at <= time.now)) {
         timers.splice(timers.indexOf(due), 1);
         due.work();
       }
@@ -109,32 +112,36 @@
   return { run, writes };
 }
 
-test("a host alone writes its row at once and then now and then", async () => {
-  const { run, writes } = live([], () => [], () => false);
+test("a host without others writes its row at once and then periodically", async () => {
+  const { run, writes } = startHost([], () => [], () => false);
   await run(45_000);
   assert.equal(writes[0]?.at, 0);
   assert.equal(writes.length, 3);
 });
 
-test("a host that its reader names writes no row", async () => {
-  const { run, writes } = live([host("reader")], () => [], (now) => now > 500);
+test("a host that its reader lists writes no row", async () => {
+  const { run, writes } = startHost(
+    [host("reader")],
+    () => [],
+    (now) => now > 500,
+  );
   await run(60_000);
   assert.deepEqual(writes, []);
 });
 
-test("a row names the followers, soon after they have changed", async () => {
+test("a row lists the followers, within a second of a change", async () => {
   const followers = (now: number) => now < 5000 ? [] : [host("b"), host("c")];
-  const { run, writes } = live([], followers, () => false);
+  const { run, writes } = startHost([], followers, () => false);
   await run(8000);
-  assert.deepEqual(writes.map((one) => one.ids), [
+  assert.deepEqual(writes.map((write) => write.ids), [
     ["self"],
     ["self", "b", "c"],
   ]);
   assert.ok((writes[1]?.at ?? 0) <= 6200);
 });
 
-test("a host whose reader is gone writes its row itself", async () => {
-  const { run, writes } = live(
+test("a host whose reader no longer lists it writes its own row", async () => {
+  const { run, writes } = startHost(
     [host("reader")],
     () => [],
     (now) => now > 500 && now < 10_000,
@@ -144,16 +151,16 @@
   assert.ok((writes[0]?.at ?? 0) >= 10_000);
 });
 
-test("a row tells that its era is settled, and so does a table without rows", async () => {
+test("an era is settled if a row has it, or if there are no rows", async () => {
   const { nowMs } = reading([], 10_000);
   const settledEra = async (rows: readonly object[]) => {
-    const values = rows.map((row, at) => ({
-      key: String(at),
+    const values = rows.map((row, index) => ({
+      key: String(index),
       value: JSON.stringify({ hosts: [host("a")], ...row }),
-      revision: at,
+      revision: index,
     }));
-    const told = { rows: values, nowMs, era: 2 };
-    const store = { readRows: () => Promise.resolve(told) };
+    const response = { rows: values, nowMs, era: 2 };
+    const store = { readRows: () => Promise.resolve(response) };
     const read = await readHosts({
       store: store as unknown as Store,
       now: () => 0,
@@ -164,14 +171,14 @@
   assert.equal(await settledEra([]), 2);
   assert.equal(await settledEra([{ writtenMs: 9000, era: 1 }]), undefined);
   assert.equal(await settledEra([{ writtenMs: 9000 }]), undefined);
-  // By a clock that began anew a copy's rows look dead: somebody was there.
-  const longAgo = [{ writtenMs: 500_000, era: 1 }];
-  assert.equal(await settledEra(longAgo), undefined);
+  // Rows of an earlier era are expired by a restored store's clock, but exist.
+  const ofEarlierEra = [{ writtenMs: 500_000, era: 1 }];
+  assert.equal(await settledEra(ofEarlierEra), undefined);
   const rows = [{ writtenMs: 9000, era: 1 }, { writtenMs: 9500, era: 2 }];
   assert.equal(await settledEra(rows), 2);
 });
 
-test("a row from ahead of the store's clock is live for as long as any", () => {
+test("a row from the future by the store's clock expires after the same time", () => {
   const ahead = (writtenMs: number) =>
     liveHosts(reading([{ hosts: [host("a")], writtenMs }], 1000)).length;
   assert.equal(ahead(5000), 1);
--- a/test/gateway/peers/link_test.ts
+++ b/test/gateway/peers/link_test.ts
@@ -1,4 +1,4 @@
-/** Links between hosts: who notices what, and how little they say at rest. */
+/** Tests the heartbeats, timeouts and messages of links between hosts. */
 import assert from "node:assert/strict";
 import { createServer, type Server } from "node:http";
 import { test } from "node:test";
@@ -10,20 +10,20 @@
   openLink,
 } from "../../../src/gateway/peers/link.ts";
 
-/** A clock that stands still until it is moved on. */
+/** A clock that moves only when the test advances it. */
 function manualClock(): Clock & {
   advance(byMs: number): void;
-  /** Names the timers that are set. */
+  /** Ids of the pending timers. */
   pending(): string;
 } {
   let now = 0;
   const timers = new Map<number, { at: number; work: () => void }>();
-  let next = 0;
+  let nextId = 0;
   return {
     now: () => now,
     pending: () => [...timers.keys()].join(),
     after: (delayMs, work) => {
-      const id = next++;
+      const id = nextId++;
       timers.set(id, { at: now + delayMs, work });
       return () => timers.delete(id);
     },
@@ -38,7 +38,7 @@
   };
 }
 
-/** A link with both ends open; each end has a clock of its own. */
+/** Opens a link; each end has a clock of its own. */
 async function startLink() {
   const clocks = { opener: manualClock(), acceptor: manualClock() };
   const closed: string[] = [];
@@ -84,7 +84,7 @@
   return { clocks, closed, lines, opened, reply, end };
 }
 
-test("an opener that has sent something notices a silent peer within a second", async () => {
+test("an opener that has sent a message closes the link within a second of silence", async () => {
   const link = await startLink();
   link.clocks.opener.advance(2000);
   link.opened.send({ type: "ask" });
@@ -95,7 +95,7 @@
   link.end();
 });
 
-test("an opener at rest waits three seconds for a silent peer", async () => {
+test("an idle opener closes the link after three seconds of silence", async () => {
   const link = await startLink();
   link.clocks.opener.advance(3099);
   assert.deepEqual(link.closed, []);
@@ -104,7 +104,7 @@
   link.end();
 });
 
-test("a peer that became idle after an answer is not given up", async () => {
+test("a link that becomes idle after a reply uses the idle timeout", async () => {
   const link = await startLink();
   link.opened.send({ type: "ask" });
   while (link.lines.length < 1) await new Promise((go) => setTimeout(go, 5));
@@ -118,11 +118,11 @@
   link.end();
 });
 
-test("the peer that answers pings often only after a line of its opener", async () => {
+test("an acceptor pings at the busy interval only after a message of its opener", async () => {
   const link = await startLink();
   const pings = () => {
     let count = 0;
-    for (let spent = 0; spent < 900; spent += 10) {
+    for (let elapsedMs = 0; elapsedMs < 900; elapsedMs += 10) {
       const before = link.clocks.acceptor.pending();
       link.clocks.acceptor.advance(10);
       if (link.clocks.acceptor.pending() !== before) count += 1;
@@ -136,7 +136,7 @@
   link.end();
 });
 
-test("the peer that answers waits three seconds for a silent opener", async () => {
+test("an acceptor closes the link after three seconds of silence", async () => {
   const link = await startLink();
   link.clocks.acceptor.advance(3099);
   assert.deepEqual(link.closed, []);
@@ -145,7 +145,7 @@
   link.end();
 });
 
-test("lines pass in both directions, heartbeats stay inside", async () => {
+test("messages pass in both directions, heartbeats are not reported", async () => {
   const link = await startLink();
   link.clocks.acceptor.advance(300);
   link.opened.send({ type: "ask" });
--- a/test/gateway/peers/peer_loop_test.ts
+++ b/test/gateway/peers/peer_loop_test.ts
@@ -1,4 +1,4 @@
-/** How soon a host that has just started asks its peers. */
+/** Tests the interval at which a starting host polls its peers. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { GatewayContext } from "../../../src/gateway/context.ts";
@@ -12,11 +12,11 @@
 import { neverSuspended } from "../never_suspended.ts";
 import { quietEras } from "../quiet_eras.ts";
 
-/** The pauses that the loops begin with, the store not answering. */
-function firstPauses(routes: RouteTable): number[] {
-  const pauses: number[] = [];
+/** The first delays of the loops while the store does not respond. */
+function firstDelays(routes: RouteTable): number[] {
+  const delays: number[] = [];
   const after = (delayMs: number) => {
-    pauses.push(delayMs);
+    delays.push(delayMs);
     return () => undefined;
   };
   const never = () => new Promise<never>(() => undefined);
@@ -37,18 +37,18 @@
     followers: () => [],
     isNamedByReader: () => false,
   });
-  return pauses;
+  return delays;
 }
 
-test("a host that knows no routes asks its peers within 100 ms", () => {
-  assert.ok(firstPauses(new RouteTable()).includes(100));
+test("a host without routes polls its peers within 100 ms", () => {
+  assert.ok(firstDelays(new RouteTable()).includes(100));
 });
 
-test("a host that knows its routes asks no more often than each 400 ms", () => {
+test("a host with routes polls its peers at intervals of at least 400 ms", () => {
   const routes = new RouteTable();
   const limits = { bodyBytes: 1, headerMs: 1, idleMs: 1 };
   routes.adopt({ version: 1, routes: [], services: [], limits });
-  const pauses = firstPauses(routes);
-  assert.ok(pauses.includes(400));
-  assert.ok(pauses.every((one) => one >= 400), String(pauses));
+  const delays = firstDelays(routes);
+  assert.ok(delays.includes(400));
+  assert.ok(delays.every((delay) => delay >= 400), String(delays));
 });
--- a/test/gateway/peers/remote_clock_test.ts
+++ b/test/gateway/peers/remote_clock_test.ts
@@ -1,33 +1,33 @@
-/** Moments that another host tells are never taken for later than they were. */
+/** Tests that converted times of a remote clock are never too late. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import * as fc from "fast-check";
 import { RemoteClock } from "../../../src/gateway/peers/remote_clock.ts";
 import "../../fixed_seed.ts";
 
-test("a moment is known to within the time that the echoed message took", () => {
+test("a converted time is too early by no more than the echoed message's delay", () => {
   const clock = new RemoteClock();
   assert.equal(clock.toLocal(5000, 0), undefined);
-  // The other's clock is 4,000 ahead, and the message took 3.
+  // The remote clock is 4,000 ms ahead, and the message took 3 ms.
   clock.note({ sentAt: 100, heardAt: 4103 }, 106);
   assert.equal(clock.toLocal(5000, 106), 997);
 });
 
-test("a word that lay in a buffer is as old as when it was written", () => {
+test("the conversion does not depend on how long a message was buffered", () => {
   const clock = new RemoteClock();
   clock.note({ sentAt: 100, heardAt: 100 }, 101);
   const readAt = 4101;
-  const heard = clock.toLocal(200, readAt) ?? Infinity;
-  assert.ok(heard <= 200);
-  assert.ok(heard > 195);
+  const converted = clock.toLocal(200, readAt) ?? Infinity;
+  assert.ok(converted <= 200);
+  assert.ok(converted > 195);
 });
 
 const Delay = fc.integer({ min: 0, max: 5000 });
 
-test("no delay, pause or drift makes a moment seem later than it was", () => {
+test("no delay, pause or drift makes a converted time too late", () => {
   const world = fc.record({
     ahead: fc.integer({ min: -1e6, max: 1e6 }),
-    /** In millionths. */
+    /** In ppm. */
     drift: fc.integer({ min: -200, max: 200 }),
     echoes: fc.array(
       fc.record({ pause: Delay, way: Delay, back: Delay }),
@@ -47,9 +47,9 @@
         now = sentAt + echo.way + echo.back;
         clock.note({ sentAt, heardAt }, now);
       }
-      const toldAt = now + moment;
-      const seen = clock.toLocal(remote(toldAt), toldAt + way);
-      assert.ok(seen !== undefined && seen <= toldAt + 1e-6);
+      const sentAt = now + moment;
+      const converted = clock.toLocal(remote(sentAt), sentAt + way);
+      assert.ok(converted !== undefined && converted <= sentAt + 1e-6);
     }),
   );
 });
