--- a/src/gateway/customers/admission.ts
+++ b/src/gateway/customers/admission.ts
@@ -1,47 +1,46 @@
-/** Whether the customer behind a request may send it. */
+/** Decides whether a request is admitted, by its API key. */
 import type { Milliseconds } from "../../util/units.ts";
 import { GatewayError } from "../answers.ts";
 import type { Route } from "../routing/model.ts";
 import type { RouteTable } from "../routing/route_table.ts";
 import type { Customer } from "./model.ts";
 
-/** What admission goes by. */
+/** Options of {@link admit}. */
 export type AdmissionSource = {
   readonly routes: Pick<RouteTable, "customers" | "isBehind">;
   /**
-   * Age of what this host knows of the store on the configuration: the one in
-   * force here was the newest so long ago. Infinity before the first.
+   * Time since the store is known to have had no newer configuration; Infinity
+   * if this is not known.
    */
   configAgeMs(now: Milliseconds): Milliseconds;
   /**
-   * Keys are not trusted on an older word than this, so that a key that was
-   * taken away is refused everywhere within that time; Infinity: any word will
-   * do. A setting: the deployment's bound on taking keys away.
+   * Maximum `configAgeMs` at which keys are accepted, so that all hosts refuse
+   * a revoked key within this time. A setting; Infinity if there is no limit.
    */
   maxConfigAgeMs(): Milliseconds;
 };
 
-/** The customer of a request that may go on, or why it may not. */
+/** The customer of an admitted request, or the error for a refused one. */
 export type Admission =
   | {
     readonly type: "admitted";
-    /** Absent where no key is asked for. */
+    /** Absent if no key is required. */
     readonly customer?: Customer;
   }
   | { readonly type: "refused"; readonly error: GatewayError };
 
-const OPEN: Admission = { type: "admitted" };
+const ADMITTED_WITHOUT_KEY: Admission = { type: "admitted" };
 
-/** Admits a request by its key's digest. */
+/** Admits or refuses a request by the digest of its key. */
 export function admit(
-  source: AdmissionSource,
+  options: AdmissionSource,
   request: { readonly route: Route; readonly keyDigest: string | undefined },
   now: Milliseconds,
 ): Admission {
-  const { customers } = source.routes;
-  if (!customers || request.route.anonymous) return OPEN;
-  // A stale word says neither that a key is good nor that it is not.
-  if (source.configAgeMs(now) > source.maxConfigAgeMs()) {
+  const { customers } = options.routes;
+  if (!customers || request.route.anonymous) return ADMITTED_WITHOUT_KEY;
+  // A stale configuration shows neither that a key is valid nor that it is not.
+  if (options.configAgeMs(now) > options.maxConfigAgeMs()) {
     return refused(GatewayError.staleKeys);
   }
   const { keyDigest } = request;
@@ -49,14 +48,14 @@
     ? undefined
     : customers.holderOf(keyDigest);
   if (customer) return { type: "admitted", customer };
-  // The newer configuration that this host waits for may have the key.
-  const mayBeNew = keyDigest !== undefined && source.routes.isBehind;
+  // A newer configuration, which this host does not have yet, may have the key.
+  const mayBeNew = keyDigest !== undefined && options.routes.isBehind;
   return refused(mayBeNew ? GatewayError.staleKeys : GatewayError.unknownKey);
 }
 
 /**
- * Whether the key of an admitted request is still its customer's: it may be
- * taken away while the request waits. True where no key was asked for.
+ * Whether the key of an admitted request still belongs to its customer; the key
+ * may be revoked while the request waits. True if no key is required.
  */
 export function isStillHeld(
   routes: Pick<RouteTable, "customers">,
--- a/src/gateway/customers/customer_table.ts
+++ b/src/gateway/customers/customer_table.ts
@@ -1,4 +1,4 @@
-/** Finds the customer who holds a key. */
+/** Looks up customers by their keys. */
 import type { Customer } from "./model.ts";
 
 /** The customers of one configuration, by the digests of their keys. */
@@ -14,8 +14,8 @@
   }
 
   /**
-   * The customer who holds the key with this SHA-256. Keys are compared by
-   * digest: how long the look-up takes tells nothing of a key.
+   * The customer whose key has this SHA-256 digest. The comparison uses digests
+   * so that the time of a lookup reveals nothing about a key.
    */
   holderOf(digest: string): Customer | undefined {
     return this.#byDigest.get(digest);
--- a/src/gateway/customers/customers.ts
+++ b/src/gateway/customers/customers.ts
@@ -1,4 +1,6 @@
-/** What a gateway needs to serve customers, made from its settings. */
+/**
+ * Creates the admission and quota components of a gateway from its settings.
+ */
 import type { Milliseconds } from "../../util/units.ts";
 import type { GatewaySettings } from "../../settings/gateway.ts";
 import type { GatewayContext } from "../context.ts";
@@ -9,16 +11,19 @@
 import { QuotaMember } from "../quota/member.ts";
 import { QuotaOwner } from "../quota/owner.ts";
 
-/** What the customers' parts are made from. */
-export type CustomersSource = {
+/** Options of {@link Customers}. */
+export type CustomersOptions = {
   readonly context: GatewayContext;
   readonly directory: HostDirectory;
   readonly settings: GatewaySettings["customers"];
-  /** Age of what this host knows of the configuration; Infinity: it has none. */
+  /**
+   * Time since the store is known to have had no newer configuration; Infinity
+   * if this is not known.
+   */
   configAgeMs(now: Milliseconds): Milliseconds;
 };
 
-/** Keys and quotas at one gateway. */
+/** Admission by key and the quotas of customers at one gateway. */
 export class Customers {
   readonly admission: AdmissionSource;
   readonly owner: QuotaOwner;
@@ -26,8 +31,8 @@
   readonly #context: GatewayContext;
   #settings: GatewaySettings["customers"];
 
-  constructor(source: CustomersSource) {
-    const { context, directory, settings, configAgeMs } = source;
+  constructor(options: CustomersOptions) {
+    const { context, directory, settings, configAgeMs } = options;
     this.#context = context;
     this.#settings = settings;
     this.admission = {
@@ -54,12 +59,12 @@
     });
   }
 
-  /** Puts changed settings in force. */
+  /** Applies changed settings. */
   change(settings: GatewaySettings["customers"]): void {
     this.#settings = settings;
   }
 
-  /** Links to the owners of quotas stand before the first request needs them. */
+  /** Opens the links to quota owners before the first request needs them. */
   link(): void {
     if (this.#context.routes.customers) this.quotas.refresh();
   }
--- a/src/gateway/customers/model.ts
+++ b/src/gateway/customers/model.ts
@@ -1,45 +1,44 @@
-/** Customers: who may send requests, and how much. */
+/** Customers, their keys and their quotas. */
 
 /** What a quota counts. */
 export const QuotaUnit = {
-  /** Tokens of the prompt and of the longest answer. */
+  /** Tokens of the prompt plus the output limit. */
   tokens: "tokens",
   requests: "requests",
 } as const;
 /** One of the values of {@link QuotaUnit}. */
 export type QuotaUnit = typeof QuotaUnit[keyof typeof QuotaUnit];
 
-/** How much all hosts together may take of one customer. */
+/** Limit on the requests of one customer, across all hosts. */
 export type Quota = {
   readonly unit: QuotaUnit;
-  /** Units a second in the long run. */
+  /** Long-term rate in units per second. */
   readonly perSecond: number;
-  /** Units that may come at once on top. */
+  /** Units allowed at once in addition to the rate. */
   readonly burst: number;
-  /** Units of a request that names no tokens. */
+  /** Units of a request that states no tokens. */
   readonly plainUnits: number;
 };
 
-/** One customer of the deployment. */
 export type Customer = {
   readonly name: string;
-  /** SHA-256 of each of its keys, in hex. */
+  /** SHA-256 digest of each of its keys, in hex. */
   readonly keyDigests: readonly string[];
-  /** Goes before its routes' priority; absent: the route's holds. */
+  /** Overrides the priority of the route, if present. */
   readonly priority?: number;
-  /** Absent: no limit. */
+  /** Unlimited if absent. */
   readonly quota?: Quota;
 };
 
-/** Tokens that a request names; both are 0 when it names none. */
+/** Tokens that a request states; both are 0 if it states none. */
 export type RequestTokens = {
   readonly promptTokens: number;
   readonly outputLimit: number;
 };
 
-/** What a request takes of its customer's quota. */
+/** Units that a request costs. */
 export function quotaUnits(quota: Quota, tokens: RequestTokens): number {
   if (quota.unit === QuotaUnit.requests) return 1;
-  const named = tokens.promptTokens + tokens.outputLimit;
-  return named > 0 ? named : quota.plainUnits;
+  const tokenCount = tokens.promptTokens + tokens.outputLimit;
+  return tokenCount > 0 ? tokenCount : quota.plainUnits;
 }
--- a/test/gateway/customers/keys_test.ts
+++ b/test/gateway/customers/keys_test.ts
@@ -1,4 +1,4 @@
-/** Who may send a request, and what replicas are told of it. */
+/** Tests admission by key, the headers sent to replicas, and quotas. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import {
@@ -20,34 +20,34 @@
 };
 const replicas = [{ answer }];
 
-function arrivedAt(rig: Rig) {
-  return rig.replicas.flatMap((one) => one.requests);
+function receivedRequests(rig: Rig) {
+  return rig.replicas.flatMap((replica) => replica.requests);
 }
 
-/** Puts a configuration without one customer in force. */
-function takeAway(rig: Rig, name: string): void {
+/** Applies a configuration without the customer, which revokes its keys. */
+function removeCustomer(rig: Rig, name: string): void {
   const config = rig.context.routes.config as RouteConfig;
   rig.context.routes.adopt({
     ...config,
     version: config.version + 1,
-    customers: customers.filter((one) => one.name !== name),
+    customers: customers.filter((customer) => customer.name !== name),
   });
 }
 
-test("a request without a key, or with one that nobody holds, does not run", async () => {
+test("a request without a key, or with an unknown key, is not sent to a replica", async () => {
   await withRig({ replicas, customers }, async (rig) => {
-    const sent: Record<string, string>[] = [{}, { "x-key": "unheard" }];
-    for (const headers of sent) {
-      const seen = await rig.call({ headers });
-      assert.equal(seen.status, 401);
-      assert.equal(seen.headers["www-authenticate"], "Bearer");
-      assert.match(seen.body, /unknown_key/);
+    const unauthorized: Record<string, string>[] = [{}, { "x-key": "unknown" }];
+    for (const headers of unauthorized) {
+      const response = await rig.call({ headers });
+      assert.equal(response.status, 401);
+      assert.equal(response.headers["www-authenticate"], "Bearer");
+      assert.match(response.body, /unknown_key/);
     }
-    assert.equal(arrivedAt(rig).length, 0);
+    assert.equal(receivedRequests(rig).length, 0);
   });
 });
 
-test("a replica is told the customer, not the key, whatever the caller says", async () => {
+test("a replica receives the customer and not the key, whatever headers the caller sends", async () => {
   await withRig({ replicas, customers }, async (rig) => {
     const headers = {
       "X-KEY": "a-key",
@@ -55,122 +55,122 @@
       "connection": "x-key, x-customer",
     };
     assert.equal((await rig.call({ headers })).status, 200);
-    const [request] = arrivedAt(rig);
+    const [request] = receivedRequests(rig);
     assert.equal(request?.headers.get("x-customer"), "alpha");
     assert.equal(request?.headers.get("x-key"), undefined);
   });
 });
 
-test("an anonymous route needs no key, and passes none on", async () => {
+test("an anonymous route requires no key, and forwards none", async () => {
   const route = { anonymous: true };
   await withRig({ route, replicas, customers }, async (rig) => {
     const headers = { "x-key": "a-key", "x-customer": "beta" };
     assert.equal((await rig.call({ headers })).status, 200);
-    const [request] = arrivedAt(rig);
+    const [request] = receivedRequests(rig);
     assert.equal(request?.headers.get("x-customer"), undefined);
     assert.equal(request?.headers.get("x-key"), undefined);
   });
 });
 
-test("where no customers are, a header of that name belongs to the caller", async () => {
+test("without customers, the key header is forwarded unchanged", async () => {
   await withRig({ replicas }, async (rig) => {
     const headers = { "x-key": "own" };
     assert.equal((await rig.call({ headers })).status, 200);
-    assert.equal(arrivedAt(rig)[0]?.headers.get("x-key"), "own");
+    assert.equal(receivedRequests(rig)[0]?.headers.get("x-key"), "own");
   });
 });
 
-test("a key that was taken away is refused from then on", async () => {
+test("a revoked key is refused from then on", async () => {
   await withRig({ replicas, customers }, async (rig) => {
     const headers = { "x-key": "a-key" };
     assert.equal((await rig.call({ id: "1", headers })).status, 200);
-    takeAway(rig, "alpha");
+    removeCustomer(rig, "alpha");
     assert.equal((await rig.call({ id: "2", headers })).status, 401);
-    assert.equal(arrivedAt(rig).length, 1);
+    assert.equal(receivedRequests(rig).length, 1);
   });
 });
 
-test("a request whose key is taken away between two sends is not sent again", async () => {
+test("a request whose key is revoked after its first attempt is not retried", async () => {
   let rig: Rig | undefined;
-  const turnAway: RawAnswer = (request, socket) => {
-    if (rig) takeAway(rig, "alpha");
+  const reject: RawAnswer = (request, socket) => {
+    if (rig) removeCustomer(rig, "alpha");
     const lines = [`HTTP/1.1 503 Full`, "x-not-run: 1", "content-length: 0"];
     lines.push(`x-id: ${request.headers.get("x-id")}`);
     socket.write(`${lines.join("\r\n")}\r\n\r\n`);
   };
-  const source = {
+  const options = {
     route: { kind: RouteKind.unsafe, attempts: 2 },
-    replicas: [{ answer: turnAway }, { answer: turnAway }],
+    replicas: [{ answer: reject }, { answer: reject }],
     customers,
   };
-  await withRig(source, async (started) => {
+  await withRig(options, async (started) => {
     rig = started;
-    const seen = await started.call({ headers: { "x-key": "a-key" } });
-    assert.equal(seen.status, 401);
-    assert.equal(arrivedAt(started).length, 1);
+    const response = await started.call({ headers: { "x-key": "a-key" } });
+    assert.equal(response.status, 401);
+    assert.equal(receivedRequests(started).length, 1);
   });
 });
 
-test("a host with too old a word of the keys refuses, and says that nothing ran", async () => {
+test("a host with a stale configuration responds with 503 and sends nothing to a replica", async () => {
   let ageMs = 20_000;
   const configAgeMs = () => ageMs;
   await withRig({ replicas, customers, configAgeMs }, async (rig) => {
     const headers = { "x-key": "a-key" };
     assert.equal((await rig.call({ id: "1", headers })).status, 200);
     ageMs = 20_001;
-    const seen = await rig.call({ id: "2", headers });
-    assert.equal(seen.status, 503);
-    assert.ok(Number(seen.headers["retry-after"]) > 0);
-    // Nor can it tell that a key is a bad one.
-    const unheard = { "x-key": "unheard" };
-    assert.equal((await rig.call({ id: "3", headers: unheard })).status, 503);
-    assert.equal(arrivedAt(rig).length, 1);
+    const response = await rig.call({ id: "2", headers });
+    assert.equal(response.status, 503);
+    assert.ok(Number(response.headers["retry-after"]) > 0);
+    // An unknown key may be valid in a newer configuration.
+    const unknown = { "x-key": "unknown" };
+    assert.equal((await rig.call({ id: "3", headers: unknown })).status, 503);
+    assert.equal(receivedRequests(rig).length, 1);
   });
 });
 
-test("a host that waits for a newer configuration calls no key unknown", async () => {
+test("a host that lacks a newer configuration refuses no key as unknown", async () => {
   await withRig({ replicas, customers }, async (rig) => {
     rig.context.routes.noteVersion(2);
-    const unheard = await rig.call({ headers: { "x-key": "unheard" } });
-    assert.equal(unheard.status, 503);
-    assert.match(unheard.body, /stale_keys/);
+    const unknown = await rig.call({ headers: { "x-key": "unknown" } });
+    assert.equal(unknown.status, 503);
+    assert.match(unknown.body, /stale_keys/);
     assert.equal((await rig.call()).status, 401);
     const known = await rig.call({ headers: { "x-key": "a-key" } });
     assert.equal(known.status, 200);
-    takeAway(rig, "beta");
-    const still = await rig.call({ headers: { "x-key": "unheard" } });
-    assert.equal(still.status, 401);
-    assert.equal(arrivedAt(rig).length, 1);
+    removeCustomer(rig, "beta");
+    const refused = await rig.call({ headers: { "x-key": "unknown" } });
+    assert.equal(refused.status, 401);
+    assert.equal(receivedRequests(rig).length, 1);
   });
 });
 
-test("a request goes by its customer's priority before its route's", async () => {
+test("a customer's priority overrides that of the route", async () => {
   const urgent = { ...ALPHA, priority: 0 };
   await withRig({ replicas, customers: [urgent, BETA] }, async (rig) => {
     const headers = { "x-key": "a-key" };
     assert.equal((await rig.call({ headers })).status, 200);
-    const placed = rig.events.find((one) => one.name === "placed");
+    const placed = rig.events.find((event) => event.name === "placed");
     assert.equal((placed?.fields as { priority?: number }).priority, 0);
     assert.equal((placed?.fields as { customer?: string }).customer, "alpha");
   });
 });
 
-/** Answers each take alike, or grants it; keeps what was told. */
-function ownerThatSays(outcome: QuotaOutcome | undefined) {
-  const taken: QuotaTake[] = [];
-  const back: [string, number][] = [];
+/** Returns `outcome` for each request, or grants it; records all requests. */
+function fakeOwner(outcome: QuotaOutcome | undefined) {
+  const requested: QuotaTake[] = [];
+  const released: [string, number][] = [];
   const granted = ({ customer, units }: QuotaTake): QuotaOutcome => ({
     type: "granted",
     afterMs: 0,
-    giveBack: () => back.push([customer, units]),
+    giveBack: () => released.push([customer, units]),
   });
   return {
-    taken,
-    back,
+    requested,
+    released,
     quotas: {
-      take: (take: QuotaTake) => {
-        taken.push(take);
-        return Promise.resolve(outcome ?? granted(take));
+      take: (request: QuotaTake) => {
+        requested.push(request);
+        return Promise.resolve(outcome ?? granted(request));
       },
     },
   };
@@ -186,62 +186,65 @@
   },
 };
 
-test("a request takes the tokens that it names, or the usual number", async () => {
-  const { taken, back, quotas } = ownerThatSays(undefined);
-  const source = { replicas, customers: [METERED], quotas };
-  await withRig(source, async (rig) => {
+test("a request acquires the tokens that it states, or the default number", async () => {
+  const { requested, released, quotas } = fakeOwner(undefined);
+  const options = { replicas, customers: [METERED], quotas };
+  await withRig(options, async (rig) => {
     const headers = { "x-key": "a-key" };
-    const named = { ...headers, "x-tokens": "500,80" };
-    assert.equal((await rig.call({ id: "1", headers: named })).status, 200);
+    const withTokens = { ...headers, "x-tokens": "500,80" };
+    assert.equal(
+      (await rig.call({ id: "1", headers: withTokens })).status,
+      200,
+    );
     assert.equal((await rig.call({ id: "2", headers })).status, 200);
   });
-  assert.deepEqual(taken.map((one) => one.units), [580, 200]);
-  assert.deepEqual(taken[0]?.rate, { perSecond: 1000, burst: 3000 });
-  assert.deepEqual(back, []);
+  assert.deepEqual(requested.map((request) => request.units), [580, 200]);
+  assert.deepEqual(requested[0]?.rate, { perSecond: 1000, burst: 3000 });
+  assert.deepEqual(released, []);
 });
 
-test("a request over the quota does not run, and is told when to come back", async () => {
-  const { quotas } = ownerThatSays({ type: "refused", retryAfterMs: 1234 });
-  const source = { replicas, customers: [METERED], quotas };
-  await withRig(source, async (rig) => {
-    const seen = await rig.call({ headers: { "x-key": "a-key" } });
-    assert.equal(seen.status, 429);
-    assert.equal(seen.headers["retry-after"], "1.24");
-    assert.equal(arrivedAt(rig).length, 0);
+test("a request over the quota is refused with a Retry-After header", async () => {
+  const { quotas } = fakeOwner({ type: "refused", retryAfterMs: 1234 });
+  const options = { replicas, customers: [METERED], quotas };
+  await withRig(options, async (rig) => {
+    const response = await rig.call({ headers: { "x-key": "a-key" } });
+    assert.equal(response.status, 429);
+    assert.equal(response.headers["retry-after"], "1.24");
+    assert.equal(receivedRequests(rig).length, 0);
   });
 });
 
-test("without word of the quota's owner nothing runs", async () => {
-  const { quotas } = ownerThatSays({ type: "unknown" });
-  const source = { replicas, customers: [METERED], quotas };
-  await withRig(source, async (rig) => {
-    const seen = await rig.call({ headers: { "x-key": "a-key" } });
-    assert.equal(seen.status, 503);
-    assert.equal(arrivedAt(rig).length, 0);
+test("a request is refused if no quota owner responds", async () => {
+  const { quotas } = fakeOwner({ type: "unknown" });
+  const options = { replicas, customers: [METERED], quotas };
+  await withRig(options, async (rig) => {
+    const response = await rig.call({ headers: { "x-key": "a-key" } });
+    assert.equal(response.status, 503);
+    assert.equal(receivedRequests(rig).length, 0);
   });
 });
 
-test("a request that did not run gives its units back, one that ran does not", async () => {
-  const { back, quotas } = ownerThatSays(undefined);
-  let turnAway = false;
-  const answerOrTurnAway: RawAnswer = (request, socket) => {
-    if (!turnAway) return void socket.write(whole(request, "ok"));
+test("a request that did not run releases its units, one that ran does not", async () => {
+  const { released, quotas } = fakeOwner(undefined);
+  let isRejecting = false;
+  const answerOrReject: RawAnswer = (request, socket) => {
+    if (!isRejecting) return void socket.write(whole(request, "ok"));
     const lines = ["HTTP/1.1 503 Full", "x-not-run: 1", "content-length: 0"];
     lines.push(`x-id: ${request.headers.get("x-id")}`);
     socket.write(`${lines.join("\r\n")}\r\n\r\n`);
   };
-  const source = {
+  const options = {
     route: { kind: RouteKind.unsafe, attempts: 1 },
-    replicas: [{ answer: answerOrTurnAway }],
+    replicas: [{ answer: answerOrReject }],
     customers: [METERED],
     quotas,
   };
-  await withRig(source, async (rig) => {
+  await withRig(options, async (rig) => {
     const headers = { "x-key": "a-key" };
     assert.equal((await rig.call({ id: "1", headers })).status, 200);
-    assert.deepEqual(back, []);
-    turnAway = true;
+    assert.deepEqual(released, []);
+    isRejecting = true;
     assert.equal((await rig.call({ id: "2", headers })).status, 503);
-    assert.deepEqual(back, [["alpha", 200]]);
+    assert.deepEqual(released, [["alpha", 200]]);
   });
 });
