--- a/src/gateway/quota/member.ts
+++ b/src/gateway/quota/member.ts
@@ -312,8 +312,8 @@
     if (message.type === "refused") return pending.resolve(message);
     const { afterMs } = message;
     const acquired = this.#noteAcquisition(pending.request, from, afterMs);
-    const giveBack = () => this.#release(acquired);
-    pending.resolve({ type: "granted", afterMs, giveBack });
+    const releaseUnits = () => this.#release(acquired);
+    pending.resolve({ type: "granted", afterMs, giveBack: releaseUnits });
   }
 
   #noteAcquisition(
