--- a/src/gateway/answers.ts
+++ b/src/gateway/answers.ts
@@ -1,9 +1,6 @@
-/**
- * The closed list of ways in which the gateway itself ends a request, and the
- * one table from each to what the caller is told.
- */
+/** The errors that the gateway itself returns, and the response for each. */
 
-/** Every way in which the gateway ends a request without a replica's answer. */
+/** Reasons for which the gateway ends a request without a replica's response. */
 export const GatewayError = {
   noConfig: "no_config",
   noRoute: "no_route",
@@ -28,18 +25,17 @@
 /** One of the values of {@link GatewayError}. */
 export type GatewayError = typeof GatewayError[keyof typeof GatewayError];
 
-/** What a caller is told. */
+/** An error response to a caller. */
 export type GatewayAnswer = {
   /** HTTP status code. */
   readonly status: number;
   readonly message: string;
-  /** When to come back; only where the request has not run and will not. */
+  /** Only set if the request has not run and will not run. */
   readonly retryAfterSeconds?: number;
-  /** How callers are to prove who they are (RFC 9110, 11.6.1). */
+  /** Authentication scheme for `WWW-Authenticate` (RFC 9110, section 11.6.1). */
   readonly challenge?: string;
 };
 
-/** The answer to each error. */
 export const GATEWAY_ANSWERS: Readonly<Record<GatewayError, GatewayAnswer>> = {
   no_config: {
     status: 503,
@@ -108,7 +104,7 @@
     message: "The replicas turned the request away; nothing ran",
     retryAfterSeconds: 0.3,
   },
-  // Not a 4xx: the verdict is drawn from what was seen, and lapses.
+  // Not a 4xx: the quarantine is inferred from crashes and expires.
   crashes_replicas: {
     status: 503,
     message:
@@ -135,7 +131,10 @@
   },
 };
 
-/** What may truthfully be told: no promise once a request may have run. */
+/**
+ * The error to report to the caller: once a request may have run, only errors
+ * that don't claim the opposite.
+ */
 export function truthfulError(
   error: GatewayError,
   mayHaveRun: boolean,
--- a/src/gateway/context.ts
+++ b/src/gateway/context.ts
@@ -1,4 +1,4 @@
-/** What the parts of the gateway share. */
+/** State and dependencies that the modules of a gateway share. */
 import type { HallId, HostId } from "../util/ids.ts";
 import type { Milliseconds } from "../util/units.ts";
 import type { Clock } from "./clock.ts";
@@ -16,36 +16,39 @@
 import type { SuspensionWatch } from "./suspension.ts";
 import type { UpstreamPool } from "./upstreams/pool.ts";
 
-/** Times and shares that the settings may change. */
+/** Parameters that a reload of the settings can change. */
 export type GatewayTuning = {
-  /** Longest wait for the answer to a reservation. */
+  /** Timeout of a memory reservation at a replica. */
   readonly reserveTimeoutMs: Milliseconds;
-  /** Longest wait for a prefill before another replica is tried. */
+  /** Timeout of a prefill, after which another replica is tried. */
   readonly prefillTimeoutMs: Milliseconds;
-  /** A repeatable request is tried elsewhere after so many objectives. */
+  /**
+   * A repeatable request is retried at another replica after this multiple of
+   * its route's latency objective.
+   */
   readonly retryAfterObjectives: number;
-  /** A resumable stream without events for so long goes on elsewhere. */
+  /** A resumable stream without events for this long resumes at another replica. */
   readonly stallMs: Milliseconds;
-  /** Output that is reserved, as a multiple of the caller's guess. */
+  /** Reserved output tokens, as a multiple of the caller's estimate. */
   readonly outputMargin: number;
-  /** Share of a replica's memory that is reserved at most. */
+  /** Maximum share of a replica's memory that is reserved. */
   readonly memoryShare: number;
-  /** What a replica in another hall counts as, as a share of its memory. */
+  /** Cost of choosing a replica in another hall, as a share of its memory. */
   readonly farCharge: number;
 };
 
-/** Shared state and ports of one gateway. */
+/** Shared state and dependencies of one gateway. */
 export type GatewayContext = {
   readonly self: {
     readonly id: HostId;
     readonly hall: HallId;
-    /** Names this run of the process. */
+    /** Identifies this run of the process. */
     readonly run: string;
   };
   readonly clock: Clock;
   readonly suspensions: SuspensionWatch;
   readonly eras: StoreEras;
-  /** In [0, 1). */
+  /** Returns a number in [0, 1). */
   readonly random: () => number;
   readonly dialect: Dialect;
   readonly routes: RouteTable;
@@ -58,10 +61,10 @@
   readonly gate: ReplicaGate;
   readonly events: EventLog;
   readonly metrics: Metrics;
-  /** As the settings have it now. */
+  /** Replaced when the settings are reloaded. */
   tuning: GatewayTuning;
-  /** Live hosts of the fleet as far as is known, this one included. */
+  /** Number of known live hosts of the fleet, including this one. */
   readonly hostCount: () => number;
-  /** When this process was asked to stop, and by when it must have ended. */
+  /** When a stop was requested, if it was, and the grace period for it. */
   readonly stop: { askedAt?: Milliseconds; graceMs: Milliseconds };
 };
--- a/src/gateway/create_context.ts
+++ b/src/gateway/create_context.ts
@@ -1,4 +1,4 @@
-/** What the parts of a gateway share, made from its settings. */
+/** Creates the shared state of a gateway from its settings. */
 import { monotonicNow, newIncarnation } from "../shell/clock.ts";
 import type { GatewaySettings } from "../settings/mod.ts";
 import { systemClock } from "./clock.ts";
@@ -19,7 +19,7 @@
 import { UpstreamPool } from "./upstreams/pool.ts";
 import { probeAddress } from "./upstreams/probe.ts";
 
-/** Makes the shared state and ports of one gateway from its settings. */
+/** Creates the shared state and dependencies of one gateway. */
 export function createContext(
   settings: GatewaySettings,
   port: PlatformPort,
@@ -60,7 +60,7 @@
     dialect: port.dialect,
     routes: new RouteTable(),
     replicas,
-    budget: new RetryBudget(budgetOf(settings), clock.now()),
+    budget: new RetryBudget(retryBudgetRuleOf(settings), clock.now()),
     pool: new UpstreamPool(clock, timeoutMs),
     crashes: new CrashWatch({
       clock,
@@ -81,18 +81,18 @@
   };
 }
 
-/** The retry budget of the fleet, as the settings have it. */
-export function budgetOf({ retries }: GatewaySettings): BudgetRule {
+/** The fleet's retry budget as configured. */
+export function retryBudgetRuleOf({ retries }: GatewaySettings): BudgetRule {
   const { window, ratio, extra } = retries;
   return { windowMs: window, ratio, extra };
 }
 
-/** Bounds on requests that crash their replicas. */
+/** Limits on requests that crash their replicas. */
 export function crashRuleOf({ crashes }: GatewaySettings): CrashRule {
   return { most: crashes.most, lifeMs: crashes.life };
 }
 
-/** Times and shares that the settings may change. */
+/** The reloadable parameters of the request path. */
 export function tuningOf(settings: GatewaySettings): GatewayTuning {
   const { tuning } = settings;
   return {
--- a/src/gateway/early_reload.ts
+++ b/src/gateway/early_reload.ts
@@ -1,25 +1,25 @@
 /**
- * Keeps a SIGHUP that comes while the program is still loading: without a
- * handler it would end the process. Imported and called before all else.
+ * Handles a SIGHUP that arrives while the program is still loading, which would
+ * otherwise end the process. Must be imported and called before everything else.
  */
 
-type Work = () => void;
+type ReloadHandler = () => void;
 
-let reload: Work | undefined;
-let isPending = false;
+let handler: ReloadHandler | undefined;
+let isReloadPending = false;
 
-/** From now on SIGHUP ends nothing. */
+/** Installs the SIGHUP handler and defers reloads until {@link onReload}. */
 export function keepReloads(): void {
   process.on("SIGHUP", () => {
-    if (reload) reload();
-    else isPending = true;
+    if (handler) handler();
+    else isReloadPending = true;
   });
 }
 
-/** Does `work` at each SIGHUP, and at once when one was kept. */
-export function onReload(work: Work): void {
-  reload = work;
-  if (!isPending) return;
-  isPending = false;
-  work();
+/** Calls `callback` on each SIGHUP, and at once if a reload was deferred. */
+export function onReload(callback: ReloadHandler): void {
+  handler = callback;
+  if (!isReloadPending) return;
+  isReloadPending = false;
+  callback();
 }
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -1,4 +1,4 @@
-/** Puts the parts of a gateway together and listens. */
+/** Assembles a gateway and starts its servers. */
 import { createServer, type Server } from "node:http";
 import type { Milliseconds } from "../util/units.ts";
 import type { GatewaySettings } from "../settings/mod.ts";
@@ -7,9 +7,9 @@
 import { sleep, systemClock } from "./clock.ts";
 import type { GatewayContext } from "./context.ts";
 import {
-  budgetOf,
   crashRuleOf,
   createContext,
+  retryBudgetRuleOf,
   tuningOf,
 } from "./create_context.ts";
 import { Customers } from "./customers/customers.ts";
@@ -26,27 +26,30 @@
 import { runStageLoop } from "./stages/stage_loop.ts";
 import { createJsonClient } from "./upstreams/json_client.ts";
 
-/** The balancer has surely left this long after the first refused check. */
-const LEAVE_MS = 3200;
-/** Kept back from the grace for the exit itself. */
+/**
+ * Time within which the load balancer stops sending requests to a host whose
+ * readiness check fails.
+ */
+const BALANCER_REMOVAL_MS = 3200;
+/** Part of the grace period that is reserved for the exit itself. */
 const EXIT_MARGIN_MS = 500;
-/** Lets the last log lines leave. */
-const LAST_LINES_MS = 50;
-/** A tick that comes so late means that the process stood still. */
-const STOOD_STILL_MS = 1000;
-const TICK_MS = 1000;
+/** Time for writing the last log lines. */
+const LOG_FLUSH_MS = 50;
+/** A tick that is later than this is logged as a stall of the process. */
+const STALL_THRESHOLD_MS = 1000;
+const TICK_INTERVAL_MS = 1000;
 
-/** A gateway that serves. */
+/** A gateway that serves callers. */
 export type RunningGateway = {
-  /** Takes no new work, finishes what it has, then resolves. */
+  /** Fails the readiness check, finishes open requests, then resolves. */
   stop(): Promise<void>;
-  /** Puts changed settings in force; addresses stay until a restart. */
+  /** Applies changed settings; changed addresses apply after a restart. */
   reload(settings: GatewaySettings, cause: string): void;
-  /** Changed settings can't be used. */
+  /** Records that changed settings are invalid. */
   noteFault(fault: string): void;
 };
 
-/** Starts a gateway over a platform. */
+/** Starts a gateway on a platform. */
 export async function startGateway(
   settings: GatewaySettings,
   port: PlatformPort,
@@ -65,12 +68,12 @@
   readonly #settings: GatewaySettings;
   readonly #self: HostEntry;
   readonly #context: GatewayContext;
-  readonly #plans: PlanService;
-  readonly #places: Places;
-  readonly #callers: CallerServer;
-  readonly #state: FleetState;
+  readonly #planService: PlanService;
+  readonly #plannerClient: Places;
+  readonly #callerServer: CallerServer;
+  readonly #fleetState: FleetState;
   readonly #directory: HostDirectory;
-  readonly #peers: Server;
+  readonly #peerServer: Server;
   readonly #servers: Server[] = [];
   readonly #customers: Customers;
   readonly #settingsState: SettingsState;
@@ -85,26 +88,30 @@
     const context = createContext(settings, port, directory);
     const configAgeMs = (now: Milliseconds) => {
       context.suspensions.check();
-      return this.#state.configAgeMs(now);
+      return this.#fleetState.configAgeMs(now);
     };
     this.#self = self;
     this.#directory = directory;
     this.#context = context;
-    this.#plans = new PlanService(context);
-    this.#places = new Places(context, this.#plans, () => directory.entries());
+    this.#planService = new PlanService(context);
+    this.#plannerClient = new Places(
+      context,
+      this.#planService,
+      () => directory.entries(),
+    );
     this.#customers = new Customers({
       context,
       directory,
       settings: settings.customers,
       configAgeMs,
     });
-    this.#callers = new CallerServer({
+    this.#callerServer = new CallerServer({
       context,
-      places: this.#places,
+      places: this.#plannerClient,
       admission: this.#customers.admission,
       quotas: this.#customers.quotas,
     });
-    this.#state = new FleetState({
+    this.#fleetState = new FleetState({
       context,
       self,
       directory,
@@ -112,26 +119,26 @@
       times: storeTimesOf(settings),
       openLink,
       createClient: (address) => createJsonClient(address, context.clock),
-      onConfig: (config) => this.#callers.applyLimits(config.limits),
+      onConfig: (config) => this.#callerServer.applyLimits(config.limits),
     });
-    this.#peers = this.#createPeers();
-    this.#startStages(port);
+    this.#peerServer = this.#createPeerServer();
+    this.#startStageLoop(port);
   }
 
-  #createPeers(): Server {
+  #createPeerServer(): Server {
     return createPeerServer({
       context: this.#context,
       self: this.#self,
       directory: this.#directory,
-      plans: this.#plans,
-      states: this.#state.server,
+      plans: this.#planService,
+      states: this.#fleetState.server,
       quotas: this.#customers.owner,
       limits: this.#context.limits.owner,
-      configAgeMs: (now) => this.#state.configAgeMs(now),
+      configAgeMs: (now) => this.#fleetState.configAgeMs(now),
     });
   }
 
-  #startStages({ store }: PlatformPort): void {
+  #startStageLoop({ store }: PlatformPort): void {
     const { host, stages } = this.#settings;
     void runStageLoop({
       context: this.#context,
@@ -139,85 +146,85 @@
       holder: host.id,
       guardMs: stages.guard,
       prefillShare: stages.prefill_share,
-      storeAgeMs: (now) => this.#state.storeAgeMs(now),
-      plannerOf: (service) => this.#places.plannerOf(service),
-      loadOf: (service) => this.#plans.loadOf(service),
-      changing: this.#plans.changing,
+      storeAgeMs: (now) => this.#fleetState.storeAgeMs(now),
+      plannerOf: (service) => this.#plannerClient.plannerOf(service),
+      loadOf: (service) => this.#planService.loadOf(service),
+      changing: this.#planService.changing,
     });
   }
 
   async listen(): Promise<void> {
     const { listen } = this.#settings;
-    this.#state.start();
+    this.#fleetState.start();
     const readiness = createServer((request, response) => {
       request.resume();
-      response.writeHead(this.#ready() ? 200 : 503);
+      response.writeHead(this.#isReady() ? 200 : 503);
       response.end();
     });
-    await this.#listenOn(this.#callers.server, listen.callers);
+    await this.#listenOn(this.#callerServer.server, listen.callers);
     await this.#listenOn(readiness, listen.readiness);
-    await this.#listenOn(this.#peers, listen.peers);
+    await this.#listenOn(this.#peerServer, listen.peers);
     if (listen.metrics !== undefined) {
-      await this.#listenOn(this.#metricsServer(), listen.metrics);
+      await this.#listenOn(this.#createMetricsServer(), listen.metrics);
     }
     this.#context.events.note("started", {
       callers: listen.callers,
       settings: this.#settingsState.version,
     });
-    this.#tick();
+    this.#scheduleTick();
   }
 
   reload(settings: GatewaySettings, cause: string): void {
     this.#context.tuning = tuningOf(settings);
-    this.#context.budget.change(budgetOf(settings));
+    this.#context.budget.change(retryBudgetRuleOf(settings));
     this.#context.crashes.change(crashRuleOf(settings));
     this.#context.stop.graceMs = settings.grace;
     this.#customers.change(settings.customers);
     const before = this.#settingsState.version;
-    this.#settingsState.loaded(settings, this.#context.clock.now());
+    this.#settingsState.noteLoaded(settings, this.#context.clock.now());
     const { version } = this.#settingsState;
     this.#context.events.note("reloaded", { cause, settings: version, before });
   }
 
   noteFault(fault: string): void {
-    this.#settingsState.refused();
+    this.#settingsState.noteRefused();
     const { version } = this.#settingsState;
     this.#context.events.note("reloadRefused", { fault, settings: version });
   }
 
   async stop(): Promise<void> {
     const { clock, events, stop, pool } = this.#context;
-    const askedAt = clock.now();
-    stop.askedAt = askedAt;
-    events.note("stopping", { open: this.#callers.open });
-    const lastAt = askedAt + stop.graceMs - EXIT_MARGIN_MS;
-    await sleep(clock, LEAVE_MS);
-    await this.#callers.finish(clock, lastAt);
+    const requestedAt = clock.now();
+    stop.askedAt = requestedAt;
+    events.note("stopping", { open: this.#callerServer.open });
+    const deadline = requestedAt + stop.graceMs - EXIT_MARGIN_MS;
+    await sleep(clock, BALANCER_REMOVAL_MS);
+    await this.#callerServer.finish(clock, deadline);
     for (const server of this.#servers) server.close();
-    this.#state.stop();
+    this.#fleetState.stop();
     pool.close();
-    events.note("stopped", { open: this.#callers.open });
-    await sleep(clock, LAST_LINES_MS);
+    events.note("stopped", { open: this.#callerServer.open });
+    await sleep(clock, LOG_FLUSH_MS);
   }
 
-  #ready(): boolean {
+  #isReady(): boolean {
     const { stop, routes, replicas } = this.#context;
     if (stop.askedAt !== undefined) return false;
     return routes.config !== undefined && replicas.revision >= 0;
   }
 
-  #metricsServer(): Server {
+  #createMetricsServer(): Server {
     return createServer((request, response) => {
       request.resume();
       const { metrics, routes, replicas, clock, crashes, eras, limits, gate } =
         this.#context;
-      const age = this.#state.storeAgeMs(clock.now());
-      const configAge = this.#state.configAgeMs(clock.now());
+      const storeAgeMs = this.#fleetState.storeAgeMs(clock.now());
+      const configAgeMs = this.#fleetState.configAgeMs(clock.now());
       const gauges = {
         ...this.#settingsState.gauges(clock.now()),
-        requests_open: this.#callers.open,
+        requests_open: this.#callerServer.open,
         quota_customers: this.#customers.owner.size,
-        memory_waits: this.#plans.waiting,
+        memory_waits: this.#planService.waiting,
         routes_version: routes.version,
         replicas_revision: revisionOf(replicas.revision),
         store_era: eras.era,
@@ -226,8 +233,10 @@
         crash_quarantined: crashes.quarantined,
         replicas_limited: limits.limited,
         replicas_backing_off: gate.backingOff,
-        config_age_seconds: Number.isFinite(configAge) ? configAge / 1000 : -1,
-        store_age_seconds: Number.isFinite(age) ? age / 1000 : -1,
+        config_age_seconds: Number.isFinite(configAgeMs)
+          ? configAgeMs / 1000
+          : -1,
+        store_age_seconds: Number.isFinite(storeAgeMs) ? storeAgeMs / 1000 : -1,
         resident_bytes: process.memoryUsage.rss(),
       };
       const info = { settings: this.#settingsState.version };
@@ -237,35 +246,35 @@
     });
   }
 
-  #tick(): void {
+  #scheduleTick(): void {
     const { clock, events, suspensions } = this.#context;
-    const before = clock.now();
-    clock.after(TICK_MS, () => {
+    const scheduledAt = clock.now();
+    clock.after(TICK_INTERVAL_MS, () => {
       suspensions.check();
-      const late = clock.now() - before - TICK_MS;
-      if (late > STOOD_STILL_MS) {
-        events.note("stoodStill", { for_ms: Math.round(late) });
+      const delayMs = clock.now() - scheduledAt - TICK_INTERVAL_MS;
+      if (delayMs > STALL_THRESHOLD_MS) {
+        events.note("stoodStill", { for_ms: Math.round(delayMs) });
       }
-      this.#linkPlanners();
+      this.#openPlannerLinks();
       this.#customers.link();
       this.#context.limits.link();
-      this.#tick();
+      this.#scheduleTick();
     });
   }
 
-  /** Links to planners stand before the first request needs them. */
-  #linkPlanners(): void {
+  /** Opens the links to planners before the first request needs them. */
+  #openPlannerLinks(): void {
     for (const service of this.#context.routes.config?.services ?? []) {
-      this.#places.plannerOf(service.name);
+      this.#plannerClient.plannerOf(service.name);
     }
   }
 
   #listenOn(server: Server, address: string): Promise<void> {
-    const place = parseAddress(address);
+    const endpoint = parseAddress(address);
     this.#servers.push(server);
     return new Promise((resolve, reject) => {
       server.once("error", reject);
-      server.listen(place?.port, place?.host, () => resolve());
+      server.listen(endpoint?.port, endpoint?.host, () => resolve());
     });
   }
 }
--- a/src/gateway/mod.ts
+++ b/src/gateway/mod.ts
@@ -1,4 +1,4 @@
-/** The gateway: routes that requests pass through unchanged. */
+/** The gateway: forwards callers' requests to replicas of upstream services. */
 export * from "./port.ts";
 export type { StorePlace } from "./position.ts";
 export * from "./routing/model.ts";
--- a/src/gateway/observe/event_log.ts
+++ b/src/gateway/observe/event_log.ts
@@ -1,24 +1,24 @@
-/** Structured log of the gateway's events, bounded in volume. */
+/** Structured, rate-limited log of the gateway's events. */
 import bunyan from "bunyan";
 import type { Milliseconds } from "../../util/units.ts";
 import type { Clock } from "../clock.ts";
 import { EVENT_KINDS, type EventKind, type EventName } from "./event_names.ts";
 import type { LineWriter } from "./line_writer.ts";
 
-/** Fields of an event: its inputs, their age or version, its outcome. */
+/** Fields of a log record. */
 export type EventFields = Readonly<
   Record<string, string | number | boolean | undefined>
 >;
 
-/** Where events are told. */
+/** Writes events to the log. */
 export type EventLog = {
   note(name: EventName, fields?: EventFields): void;
 };
 
-type Window = { second: number; lines: number; left: number };
+type RateWindow = { second: number; lines: number; suppressed: number };
 
-/** What an event log is made from. */
-export type EventLogSource = {
+/** Options of {@link openEventLog}. */
+export type EventLogOptions = {
   readonly program: string;
   readonly host: string;
   readonly level: bunyan.LogLevelString;
@@ -26,26 +26,26 @@
   readonly writer: LineWriter;
 };
 
-/** Opens a log of JSON lines. */
-export function openEventLog(source: EventLogSource): EventLog {
-  const { clock, writer } = source;
+/** Opens a log that writes JSON lines. */
+export function openEventLog(options: EventLogOptions): EventLog {
+  const { clock, writer } = options;
   const logger = bunyan.createLogger({
-    name: source.program,
-    host: source.host,
-    level: source.level,
+    name: options.program,
+    host: options.host,
+    level: options.level,
     stream: writer as unknown as NodeJS.WritableStream,
   });
-  const windows = new Map<EventName, Window>();
+  const windows = new Map<EventName, RateWindow>();
   return {
     note: (name, fields) => {
       const kind: EventKind = EVENT_KINDS[name];
-      const allowance = takeLine(windows, name, kind, clock.now());
-      if (!allowance) return;
-      const dropped = writer.takeDropped();
+      const admitted = admitLine(windows, name, kind, clock.now());
+      if (!admitted) return;
+      const dropped = writer.resetDroppedCount();
       const record = {
         event: name,
         ...fields,
-        ...(allowance.left > 0 ? { left_out: allowance.left } : {}),
+        ...(admitted.suppressed > 0 ? { left_out: admitted.suppressed } : {}),
         ...(dropped > 0 ? { lines_dropped: dropped } : {}),
       };
       logger[kind.level](record, `${kind.part}: ${kind.sentence}`);
@@ -53,27 +53,30 @@
   };
 }
 
-/** Whether the event may be written; how many before it were not. */
-function takeLine(
-  windows: Map<EventName, Window>,
+/**
+ * Returns the number of events suppressed since the last written one, or
+ * undefined if this event is suppressed too.
+ */
+function admitLine(
+  windows: Map<EventName, RateWindow>,
   name: EventName,
   kind: EventKind,
   now: Milliseconds,
-): { left: number } | undefined {
+): { suppressed: number } | undefined {
   const second = Math.floor(now / 1000);
-  const known = windows.get(name);
-  const window = known ?? { second, lines: 0, left: 0 };
-  if (!known) windows.set(name, window);
+  const existing = windows.get(name);
+  const window = existing ?? { second, lines: 0, suppressed: 0 };
+  if (!existing) windows.set(name, window);
   if (window.second !== second) {
     window.second = second;
     window.lines = 0;
   }
   if (window.lines >= kind.perSecond) {
-    window.left += 1;
+    window.suppressed += 1;
     return undefined;
   }
   window.lines += 1;
-  const { left } = window;
-  window.left = 0;
-  return { left };
+  const { suppressed } = window;
+  window.suppressed = 0;
+  return { suppressed };
 }
--- a/src/gateway/observe/event_names.ts
+++ b/src/gateway/observe/event_names.ts
@@ -1,151 +1,197 @@
 /**
- * The catalogue of what the gateway logs: one line for each decision that
- * touches a request or changes what the process believes. docs/OPERATIONS.md
- * has a row for each; a test holds the two together.
+ * The catalogue of the gateway's log events. docs/OPERATIONS.md describes each
+ * event; a test compares the two lists.
  */
 
-/** Level and sentence of one kind of event. */
+/** Message, level and rate limit of one kind of event. */
 export type EventKind = {
-  /** Prefix of the sentence. */
+  /** Prefix of the message. */
   readonly part: string;
   readonly sentence: string;
   readonly level: "info" | "warn";
-  /** Lines a second; what is over is counted in a later line. */
+  /** Maximum lines per second; a later line counts the suppressed ones. */
   readonly perSecond: number;
 };
 
 const REQUESTS_PER_SECOND = 40;
 const FAILURES_PER_SECOND = 60;
-const BELIEFS_PER_SECOND = 20;
+const STATE_CHANGES_PER_SECOND = 20;
 
-/** All kinds of events. */
 export const EVENT_KINDS = {
-  started: info("process", "The process serves callers", BELIEFS_PER_SECOND),
-  reloaded: info("process", "The settings are read again", BELIEFS_PER_SECOND),
+  started: info(
+    "process",
+    "The process is serving callers",
+    STATE_CHANGES_PER_SECOND,
+  ),
+  reloaded: info(
+    "process",
+    "The settings were reloaded",
+    STATE_CHANGES_PER_SECOND,
+  ),
   reloadRefused: warn(
     "process",
-    "The changed settings are faulty; the old ones stay",
-    BELIEFS_PER_SECOND,
+    "The changed settings are invalid; the previous ones stay in force",
+    STATE_CHANGES_PER_SECOND,
   ),
   stopping: info(
     "process",
-    "The process stops and finishes what it has",
-    BELIEFS_PER_SECOND,
+    "The process is stopping and finishes its open requests",
+    STATE_CHANGES_PER_SECOND,
+  ),
+  stopped: info("process", "The process has stopped", STATE_CHANGES_PER_SECOND),
+  stoodStill: warn(
+    "process",
+    "The process was stalled",
+    STATE_CHANGES_PER_SECOND,
   ),
-  stopped: info("process", "The process has stopped", BELIEFS_PER_SECOND),
-  stoodStill: warn("process", "The process stood still", BELIEFS_PER_SECOND),
   suspended: warn(
     "process",
-    "The machine slept or its time of day stepped: the store is read anew",
-    BELIEFS_PER_SECOND,
+    "The machine was suspended or its wall clock stepped; reading the store again",
+    STATE_CHANGES_PER_SECOND,
+  ),
+  storeLost: warn(
+    "store",
+    "The store does not respond",
+    STATE_CHANGES_PER_SECOND,
+  ),
+  storeBack: info(
+    "store",
+    "The store responds again",
+    STATE_CHANGES_PER_SECOND,
   ),
-  storeLost: warn("store", "The store does not answer", BELIEFS_PER_SECOND),
-  storeBack: info("store", "The store answers again", BELIEFS_PER_SECOND),
   storeRestored: warn(
     "store",
-    "The store came back from an older copy: what it says is taken anew",
-    BELIEFS_PER_SECOND,
+    "The store was restored from a backup; its state is adopted again",
+    STATE_CHANGES_PER_SECOND,
   ),
   listingOlder: warn(
     "store",
-    "A listing of the store is older than the one held, and is dropped",
+    "A listing from the store is older than the current one and was dropped",
     2,
   ),
   callFailed: warn("store", "A call to the store or a peer failed", 5),
-  readerChosen: info("store", "Another host reads the store", 20),
-  readerLeft: warn("store", "The hall's reader is of no use", 20),
-  peerState: info("peers", "A peer told newer state", BELIEFS_PER_SECOND),
-  configHeard: info("routes", "A newer configuration was heard of", 20),
-  configAdopted: info("routes", "A configuration is in force", 20),
-  replicaAdded: info("replicas", "A replica is listed", BELIEFS_PER_SECOND),
-  replicaRemoved: info("replicas", "A replica is gone", BELIEFS_PER_SECOND),
-  replicaLeaving: info("replicas", "A replica is leaving", BELIEFS_PER_SECOND),
+  readerChosen: info("store", "Another host was chosen to read the store", 20),
+  readerLeft: warn("store", "The data hall's reader can't be used", 20),
+  peerState: info("peers", "A peer sent newer state", STATE_CHANGES_PER_SECOND),
+  configHeard: info("routes", "A newer configuration was announced", 20),
+  configAdopted: info("routes", "A configuration was adopted", 20),
+  replicaAdded: info(
+    "replicas",
+    "A replica was added to the listing",
+    STATE_CHANGES_PER_SECOND,
+  ),
+  replicaRemoved: info(
+    "replicas",
+    "A replica was removed from the listing",
+    STATE_CHANGES_PER_SECOND,
+  ),
+  replicaLeaving: info(
+    "replicas",
+    "A replica is draining",
+    STATE_CHANGES_PER_SECOND,
+  ),
   backoffAsked: info(
     "replicas",
-    "A replica asks this host to send it nothing for a while",
-    BELIEFS_PER_SECOND,
+    "A replica requested a backoff from this host",
+    STATE_CHANGES_PER_SECOND,
   ),
   backoffUnreadable: warn(
     "replicas",
-    "A replica asks for a pause of no readable length",
+    "A replica requested a backoff of unreadable length",
     1,
   ),
   rowUnreadable: warn(
     "replicas",
-    "A row of the listing names no replica",
+    "A row of the listing can't be parsed",
     5,
   ),
   replicaRestarted: info(
     "replicas",
-    "A replica has started again under its id",
-    BELIEFS_PER_SECOND,
+    "A replica restarted under the same id",
+    STATE_CHANGES_PER_SECOND,
   ),
   replicaPaused: warn(
     "replicas",
-    "A replica failed and is passed over for a while",
-    BELIEFS_PER_SECOND,
+    "A replica failed and is not used until its backoff ends",
+    STATE_CHANGES_PER_SECOND,
   ),
   replicaCrashed: warn(
     "crashes",
     "A replica crashed under requests of this host",
-    BELIEFS_PER_SECOND,
+    STATE_CHANGES_PER_SECOND,
   ),
   quarantined: warn(
     "crashes",
-    "A request crashes its replicas and is sent to no further one",
-    BELIEFS_PER_SECOND,
+    "A request crashes its replicas and was quarantined",
+    STATE_CHANGES_PER_SECOND,
   ),
   quarantineLifted: info(
     "crashes",
-    "A request may be sent to replicas again",
-    BELIEFS_PER_SECOND,
+    "A request was released from quarantine",
+    STATE_CHANGES_PER_SECOND,
   ),
-  limitNamed: warn("limits", "A replica limits the rate of its requests", 5),
-  limitEnded: info("limits", "A replica limits its requests no more", 5),
+  limitNamed: warn("limits", "A replica announced a rate limit", 5),
+  limitEnded: info("limits", "A replica no longer has a rate limit", 5),
   limitUnreadable: warn(
     "limits",
-    "A replica's limit is no number; what was known of it stays",
+    "A replica's rate limit is not a number; the previous limit stays in force",
     1,
   ),
   limitOwnerLost: warn(
     "limits",
-    "An owner of replicas' limits is out of reach",
+    "An owner of replicas' rate limits is unreachable",
     20,
   ),
   limitReached: info(
     "limits",
-    "A replica's limit has no room for a request now",
+    "A replica's rate limit is reached",
     REQUESTS_PER_SECOND,
   ),
-  plannerLost: warn("planning", "The planner is out of reach", 20),
-  plannerChanged: info("planning", "Another host plans a service", 20),
-  quotaOwnerLost: warn("quotas", "An owner of quotas is out of reach", 20),
+  plannerLost: warn("planning", "The planner is unreachable", 20),
+  plannerChanged: info(
+    "planning",
+    "Another host became the planner of a service",
+    20,
+  ),
+  quotaOwnerLost: warn("quotas", "An owner of quotas is unreachable", 20),
   heldBack: warn(
     "crashes",
-    "A request that crashes its replicas is not sent",
+    "A quarantined request was not sent",
     FAILURES_PER_SECOND,
   ),
-  placed: info("placement", "A request is sent", REQUESTS_PER_SECOND),
+  placed: info(
+    "placement",
+    "A request is sent to a replica",
+    REQUESTS_PER_SECOND,
+  ),
   passedOver: info(
     "placement",
-    "A replica is not sent a request that had a place there",
+    "A request was not sent to the replica that it was assigned to",
     REQUESTS_PER_SECOND,
   ),
   prefillFailed: warn("prefill", "A prefill failed", FAILURES_PER_SECOND),
-  retried: warn("retry", "A request is tried again", FAILURES_PER_SECOND),
-  retryDenied: warn("retry", "The budget has no retry", FAILURES_PER_SECOND),
-  resumed: warn("retry", "A stream goes on elsewhere", FAILURES_PER_SECOND),
+  retried: warn("retry", "A request is retried", FAILURES_PER_SECOND),
+  retryDenied: warn(
+    "retry",
+    "The retry budget is exhausted",
+    FAILURES_PER_SECOND,
+  ),
+  resumed: warn(
+    "retry",
+    "A stream is resumed at another replica",
+    FAILURES_PER_SECOND,
+  ),
   answered: info("requests", "A request is answered", REQUESTS_PER_SECOND),
-  refused: warn("requests", "A request is refused", FAILURES_PER_SECOND),
+  refused: warn("requests", "A request was refused", FAILURES_PER_SECOND),
   failed: warn("requests", "A request failed", FAILURES_PER_SECOND),
-  broken: warn("requests", "An answer was broken off", FAILURES_PER_SECOND),
-  callerGone: info("requests", "The caller went away", REQUESTS_PER_SECOND),
+  broken: warn("requests", "A response was cut off", FAILURES_PER_SECOND),
+  callerGone: info("requests", "The caller disconnected", REQUESTS_PER_SECOND),
   crossed: warn(
     "requests",
-    "An answer to another request came and was dropped",
+    "A response to another request was received and dropped",
     FAILURES_PER_SECOND,
   ),
-  stageOrdered: info("stages", "A change of stage is ordered", 20),
+  stageOrdered: info("stages", "A change of stage was ordered", 20),
 } as const;
 
 /** The name of an event. */
--- a/src/gateway/observe/line_writer.ts
+++ b/src/gateway/observe/line_writer.ts
@@ -1,22 +1,22 @@
 /**
- * Writes lines without ever blocking the loop: one write is under way, the
- * rest waits up to a limit, what is over is dropped and counted. Node writes
- * to a pipe through `process.stdout` synchronously, so a reader that stops
- * reading would stop the process; `fs.write` waits on another thread.
+ * Writes log lines without blocking the event loop. `process.stdout` writes to
+ * pipes synchronously, so a reader that stops reading would block the process;
+ * `fs.write` runs on the thread pool instead. Lines beyond the buffer limit are
+ * dropped and counted.
  */
 import { write } from "node:fs";
 
-/** Writes bytes; calls back when they are written or an error came. */
+/** Writes bytes and calls `done` with an error or the number of bytes written. */
 export type RawWrite = (
   bytes: Buffer,
   done: (error: Error | null, written: number) => void,
 ) => void;
 
-/** Most bytes that wait to be written. */
-const PENDING_LIMIT = 256 * 1024;
+/** Maximum length of the buffered lines, in characters. */
+const MAX_PENDING_LENGTH = 256 * 1024;
 const STDOUT = 1;
 
-/** Gathers lines and writes them in turn. */
+/** Buffers lines and writes them in batches, one write at a time. */
 export class LineWriter {
   readonly #write: RawWrite;
   #pending: string[] = [];
@@ -28,16 +28,16 @@
     this.#write = write;
   }
 
-  /** Lines that were dropped since the last call; counts anew. */
-  takeDropped(): number {
+  /** Returns the number of dropped lines since the last call and resets it. */
+  resetDroppedCount(): number {
     const dropped = this.#dropped;
     this.#dropped = 0;
     return dropped;
   }
 
-  /** Adds a line; bunyan calls this. */
+  /** Buffers a line; called by bunyan. */
   write(line: string): void {
-    if (this.#pendingLength + line.length > PENDING_LIMIT) {
+    if (this.#pendingLength + line.length > MAX_PENDING_LENGTH) {
       this.#dropped += 1;
       return;
     }
@@ -60,18 +60,18 @@
 
   #writeAll(bytes: Buffer): void {
     this.#write(bytes, (error, written) => {
-      if (error && !isBusy(error)) return this.#writeNext();
-      const rest = bytes.subarray(error ? 0 : written);
-      if (rest.length === 0) return this.#writeNext();
-      setTimeout(() => this.#writeAll(rest), RETRY_MS).unref();
+      if (error && !isPipeFull(error)) return this.#writeNext();
+      const remaining = bytes.subarray(error ? 0 : written);
+      if (remaining.length === 0) return this.#writeNext();
+      setTimeout(() => this.#writeAll(remaining), RETRY_DELAY_MS).unref();
     });
   }
 }
 
-/** Pause before a pipe that was full is tried again. */
-const RETRY_MS = 20;
+/** Delay before writing to a full pipe again. */
+const RETRY_DELAY_MS = 20;
 
-function isBusy(error: NodeJS.ErrnoException): boolean {
+function isPipeFull(error: NodeJS.ErrnoException): boolean {
   return error.code === "EAGAIN";
 }
 
--- a/src/gateway/observe/metrics.ts
+++ b/src/gateway/observe/metrics.ts
@@ -1,10 +1,10 @@
-/** Counters and latency histograms, as text for a metrics reader. */
+/** Counters and latency histograms in the Prometheus text format. */
 import type { Histogram } from "hdr-histogram-js";
-// The package's entry file takes 25 ms of a process's start.
+// Not the package's entry file, which takes longer to load.
 import histograms from "hdr-histogram-js/dist/Int32Histogram.js";
 import type { Milliseconds } from "../../util/units.ts";
 
-/** What is timed. */
+/** Names of the measured durations. */
 export const Timing = {
   firstByte: "first_byte",
   whole: "whole",
@@ -15,14 +15,13 @@
 /** One of the values of {@link Timing}. */
 export type Timing = typeof Timing[keyof typeof Timing];
 
-const QUANTILES = [50, 95, 99];
-/** Histograms count microseconds. */
-const MICROS = 1000;
-const LONGEST_MICROS = 600_000_000;
-/** A value is told to within one in a hundred. */
+const PERCENTILES = [50, 95, 99];
+/** Histograms record microseconds. */
+const MICROS_PER_MS = 1000;
+const MAX_MICROS = 600_000_000;
 const SIGNIFICANT_DIGITS = 2;
 
-/** Counts and times of one process. */
+/** Metrics of one process. */
 export class Metrics {
   readonly #counters = new Map<string, number>();
   readonly #timings = new Map<Timing, Histogram>();
@@ -33,21 +32,21 @@
   }
 
   /** The value of a counter. */
-  counted(name: string): number {
+  counterValue(name: string): number {
     return this.#counters.get(name) ?? 0;
   }
 
-  /** Records a time. */
-  time(timing: Timing, spentMs: Milliseconds): void {
-    const known = this.#timings.get(timing);
-    const histogram = known ??
-      new histograms.default(1, LONGEST_MICROS, SIGNIFICANT_DIGITS);
-    if (!known) this.#timings.set(timing, histogram);
-    const micros = Math.round(spentMs * MICROS);
-    histogram.recordValue(Math.max(1, Math.min(LONGEST_MICROS, micros)));
+  /** Records a duration. */
+  time(timing: Timing, durationMs: Milliseconds): void {
+    const existing = this.#timings.get(timing);
+    const histogram = existing ??
+      new histograms.default(1, MAX_MICROS, SIGNIFICANT_DIGITS);
+    if (!existing) this.#timings.set(timing, histogram);
+    const micros = Math.round(durationMs * MICROS_PER_MS);
+    histogram.recordValue(Math.max(1, Math.min(MAX_MICROS, micros)));
   }
 
-  /** The page in the usual text exposition format; `info` are versions. */
+  /** Renders all metrics; `info` maps names to versions. */
   page(
     gauges: Readonly<Record<string, number>>,
     info: Readonly<Record<string, string>> = {},
@@ -66,20 +65,20 @@
       lines.push(`otterhill_${name} ${value}`);
     }
     for (const [timing, histogram] of this.#timings) {
-      lines.push(...summary(`otterhill_${timing}_seconds`, histogram));
+      lines.push(...summaryLines(`otterhill_${timing}_seconds`, histogram));
     }
     return `${lines.join("\n")}\n`;
   }
 }
 
-function summary(name: string, histogram: Histogram): string[] {
-  const seconds = (micros: number) => micros / MICROS / 1000;
+function summaryLines(name: string, histogram: Histogram): string[] {
+  const seconds = (micros: number) => micros / MICROS_PER_MS / 1000;
   const total = histogram.mean * histogram.totalCount;
   return [
     `# TYPE ${name} summary`,
-    ...QUANTILES.map((one) => {
-      const value = seconds(histogram.getValueAtPercentile(one));
-      return `${name}{quantile="${one / 100}"} ${value}`;
+    ...PERCENTILES.map((percentile) => {
+      const value = seconds(histogram.getValueAtPercentile(percentile));
+      return `${name}{quantile="${percentile / 100}"} ${value}`;
     }),
     `${name}_sum ${seconds(total)}`,
     `${name}_count ${histogram.totalCount}`,
--- a/src/gateway/port.ts
+++ b/src/gateway/port.ts
@@ -1,6 +1,6 @@
 /**
- * What the gateway needs of the platform it runs on. An adapter translates
- * between these words and the platform's; it decides nothing.
+ * The gateway's interface to the platform it runs on. A platform adapter
+ * implements it and only translates between formats.
  */
 import type { IncomingHttpHeaders } from "node:http";
 import type { Milliseconds } from "../util/units.ts";
@@ -9,240 +9,240 @@
 import type { ReplicaEntry, ReplicaStage } from "./replicas/model.ts";
 import type { ReplicaNotice } from "./replicas/notice.ts";
 
-/** What a request's head says of it. */
+/** Metadata of a request, parsed from its headers. */
 export type RequestFacts = {
-  /** The caller's name for this attempt. */
+  /** The caller's id for this attempt. */
   readonly id?: string;
-  /** How long the caller will wait. */
+  /** The caller's timeout. */
   readonly patienceMs?: Milliseconds;
-  /** Longest time to come back that the caller heeds when it is refused. */
+  /** The longest `Retry-After` that the caller honors. */
   readonly longestRetryMs?: Milliseconds;
-  /** 0 when the head names no prompt. */
+  /** 0 if the headers name no prompt. */
   readonly promptTokens: number;
-  /** Names the prompt: an attempt of the same request names the same. */
+  /** Identifies the prompt; the same for all attempts of a request. */
   readonly promptKey?: string;
-  /** Most tokens to be made. */
+  /** Maximum number of tokens to generate. */
   readonly outputLimit: number;
-  /** The caller's guess of the tokens to be made. */
+  /** The caller's estimate of the tokens to generate. */
   readonly outputHint?: number;
-  /** The caller has the events up to this one. */
+  /** Id of the last event that the caller has received. */
   readonly lastEventId?: string;
-  /** SHA-256, in hex, of the key that says for which customer it comes. */
+  /** SHA-256, in hex, of the customer's key. */
   readonly keyDigest?: string;
 };
 
-/** What a call to a replica does with the request. */
+/** How a replica processes a request. */
 export const CallMode = {
-  /** Runs it whole. */
+  /** Prefill and decode, or the full request at a plain service. */
   whole: "whole",
-  /** Reads the prompt only. */
+  /** Prefill only. */
   prefill: "prefill",
 } as const;
 /** One of the values of {@link CallMode}. */
 export type CallMode = typeof CallMode[keyof typeof CallMode];
 
-/** What the gateway adds to a request that it sends on. */
+/** Metadata that the gateway adds to a request when it forwards it. */
 export type CallHead = {
   readonly mode: CallMode;
-  /** The replica that may take it: another at its address does not. */
+  /** Id of the intended replica; any other replica at the address rejects it. */
   readonly replica: string;
-  /** Rank at a model engine's own queue; 0 is the most urgent. */
+  /** Priority in the model engine's queue; 0 is the most urgent. */
   readonly priority?: number;
-  /** Time left for the answer; absent when the caller named none. */
+  /** Time left until the caller's timeout; absent if the caller set none. */
   readonly patienceMs?: Milliseconds;
-  /** The finished prefill to go on from, and the address that keeps it. */
+  /** The finished prefill to decode from, and the address that stores it. */
   readonly export?: { readonly address: string; readonly id: string };
-  /** Memory reserved for it. */
+  /** Id of the memory reservation for this request. */
   readonly reservation?: string;
-  /** Events up to this one are not wanted. */
+  /** Id of the last event that the caller already has. */
   readonly lastEventId?: string;
-  /** The customer that the request comes from. */
+  /** The customer that sent the request. */
   readonly customer?: string;
 };
 
-/** What the head of a replica's answer says. */
+/** Metadata of a replica's response, parsed from its status and headers. */
 export type AnswerFacts = ReplicaNotice & {
-  /** The request that it belongs to. */
+  /** Id of the request that it answers. */
   readonly id?: string;
-  /** The replica says that the request did not run. */
+  /** The replica reports that the request did not run. */
   readonly notRun: boolean;
-  /** Another replica has the address. */
+  /** The address belongs to another replica now. */
   readonly misdirected: boolean;
 };
 
-/** A call without a caller's request behind it. */
+/** A call that the gateway makes itself, with a JSON body if any. */
 export type SmallCall = {
   readonly method: "POST" | "DELETE" | "GET";
   readonly path: string;
-  /** JSON. */
+  /** JSON text. */
   readonly body?: string;
 };
 
-/** What a model engine tells of itself. */
+/** Status of a model engine. */
 export type EngineReport = {
   readonly stage: ReplicaStage;
-  /** Orders that it has taken. */
+  /** Number of orders that it has accepted. */
   readonly orders: number;
-  /** An order is under way. */
+  /** An order is in progress. */
   readonly changing: boolean;
 };
 
-/** A change of stage, under a lease. */
+/** An order to change stage, issued under a lease. */
 export type StageOrder = {
   /** The replica's id. */
   readonly replica: string;
   readonly stage: ReplicaStage;
   readonly holder: string;
   readonly fence: number;
-  /** Only if it has taken so many orders. */
+  /** Precondition: the number of orders that it has accepted. */
   readonly ifOrders: number;
 };
 
-/** A small call that names the only start of the replica that may take it. */
+/** A call whose headers name the incarnation that may accept it. */
 export type OrderCall = SmallCall & { readonly headers: readonly string[] };
 
-/** How a model engine took an order. */
+/** A model engine's response to an order. */
 export const OrderOutcome = {
   taken: "taken",
-  /** A higher fence was seen there. */
+  /** The engine has seen a higher fence. */
   fenced: "fenced",
-  /** Another order is under way, or the replica is not as expected. */
+  /** Another order is in progress, or the precondition does not hold. */
   refused: "refused",
 } as const;
 /** One of the values of {@link OrderOutcome}. */
 export type OrderOutcome = typeof OrderOutcome[keyof typeof OrderOutcome];
 
-/** How requests and replicas' calls look on the wire. */
+/** Wire format of callers' requests and of calls to replicas. */
 export type Dialect = {
-  /** Reads the head of a caller's request. */
+  /** Parses the headers of a caller's request. */
   readRequest(headers: IncomingHttpHeaders): RequestFacts;
-  /** Headers to send on; names and values by turns, end to end only. */
+  /** End-to-end headers to forward, as alternating names and values. */
   callHeaders(rawHeaders: readonly string[], head: CallHead): string[];
   readAnswer(status: number, headers: IncomingHttpHeaders): AnswerFacts;
-  /** The id under which a finished prefill is kept. */
+  /** Parses the id of a finished prefill's export. */
   readExport(body: string): string | undefined;
-  reserve(tokens: number, lifeMs: Milliseconds): SmallCall;
-  /** The reservation's id. */
+  reserve(tokens: number, ttlMs: Milliseconds): SmallCall;
+  /** Parses the id of a reservation. */
   readReservation(body: string): string | undefined;
   dropReservation(id: string): SmallCall;
   dropExport(id: string): SmallCall;
-  /** Asks a model engine how it is. */
+  /** Requests the status of a model engine. */
   readonly report: SmallCall;
   readReport(body: string): EngineReport | undefined;
-  /** Orders a change of stage. */
+  /** Creates the call for an order. */
   orderStage(order: StageOrder): OrderCall;
-  /** How an order was taken. */
+  /** Maps the status of a response to the outcome of an order. */
   readOrder(status: number): OrderOutcome;
-  /** Headers, in lower case, that a `Connection` header can't take out. */
+  /** Headers, in lower case, that `Connection` can't mark as hop-by-hop. */
   readonly endToEndHeaders: ReadonlySet<string>;
-  /** Header, in lower case, with a customer's key. */
+  /** Header, in lower case, that carries a customer's key. */
   readonly keyHeader: string;
-  /** Header with the seconds after which a refused caller may come back. */
+  /** Header with the seconds after which a refused caller may retry. */
   readonly retryAfterHeader: string;
 };
 
-/** Another host of the system, as listed in the store. */
+/** A host of the fleet as listed in the store. */
 export type HostEntry = {
   readonly id: string;
-  /** Where peers reach it. */
+  /** Address for peers. */
   readonly address: string;
   readonly hall: string;
 };
 
-/** A row that can't be read and names nothing. */
+/** A row that can't be parsed. */
 export type RowFault = { readonly key: string; readonly reason: string };
 
-/** What the store told of replicas, as of a place of its history. */
+/** Common fields of replica reads, as of a position in the store's history. */
 type ReplicaReading = StorePlace & {
-  /** The store's steady clock. */
+  /** Time by the store's monotonic clock. */
   readonly nowMs: Milliseconds;
   readonly faults?: readonly RowFault[];
 };
-/** All replicas. */
+/** The full listing of replicas. */
 export type StoreListing = ReplicaReading & {
   readonly entries: readonly ReplicaEntry[];
 };
-/** What changed in the listing after a place. */
+/** Changes of the listing since a position. */
 export type StoreChanges = ReplicaReading & {
   readonly changed: readonly ReplicaEntry[];
-  /** Ids that are listed no more. */
+  /** Ids that are no longer listed. */
   readonly gone: readonly string[];
 };
 
-/** The platform's store; each call rejects when no good answer comes. */
+/** The platform's store; each call rejects if the response is missing or invalid. */
 export type Store = {
   readReplicas(signal: AbortSignal): Promise<StoreListing>;
   /**
-   * Resolves with what changed in the listing after `from`, at the latest after
-   * `waitMs`; undefined: the store can't tell, since it has forgotten that place
-   * or its history is another one by now.
+   * Long poll: resolves with the changes of the listing since `from`, after
+   * `waitMs` at the latest. Resolves with undefined if the store's history no
+   * longer contains `from`.
    */
   watchReplicas(
     from: StorePlace,
     waitMs: Milliseconds,
     signal: AbortSignal,
   ): Promise<StoreChanges | undefined>;
-  /** The configuration, undefined while there is none. */
+  /** Reads the configuration. */
   readConfig(signal: AbortSignal): Promise<ConfigReading>;
-  /** Resolves when the configuration may have changed after `from`. */
+  /** Long poll: resolves once the configuration may have changed since `from`. */
   watchConfig(
     from: StorePlace,
     waitMs: Milliseconds,
     signal: AbortSignal,
   ): Promise<ConfigReading>;
-  /** The system's own rows of a table. */
+  /** Reads the gateway's own rows of a table. */
   readRows(table: string, signal: AbortSignal): Promise<RowReading>;
-  /** Writes a row; rejects when nobody can tell whether it was written. */
+  /** Writes a row; rejects if it is unknown whether the write was applied. */
   writeRow(write: RowWrite, signal: AbortSignal): Promise<RowWritten>;
 };
 
-/** A row of the system's own. */
+/** A row that the gateway itself maintains. */
 export type StoreRow = {
   readonly key: string;
   readonly value: string;
-  /** Rises with each write of the store. */
+  /** Increases with each write to the store. */
   readonly revision: number;
 };
 
-/** Rows as of one moment. */
+/** A consistent snapshot of rows. */
 export type RowReading = {
   readonly rows: readonly StoreRow[];
-  /** The store's steady clock. */
+  /** Time by the store's monotonic clock. */
   readonly nowMs: Milliseconds;
-  /** As in {@link StorePlace}. */
+  /** As in {@link StorePosition}. */
   readonly era?: number;
 };
 
-/** A row to be written. */
+/** A write of one row. */
 export type RowWrite = {
   readonly table: string;
   readonly key: string;
   readonly value: string;
-  /** Only if the row has this revision; 0: only if there is none. */
+  /** Precondition: the row's revision; 0: the row does not exist. */
   readonly ifRevision?: number;
 };
 
-/** How a write went. */
+/** Result of a write. */
 export type RowWritten =
   | {
     readonly type: "written";
     readonly revision: number;
     readonly nowMs: Milliseconds;
-    /** As in {@link StorePlace}. */
+    /** As in {@link StorePosition}. */
     readonly era?: number;
   }
-  /** The row had another revision; nothing was written. */
+  /** The precondition failed; nothing was written. */
   | { readonly type: "conflict" };
 
-/** What the store says of the configuration. */
+/** The store's response to a read of the configuration. */
 export type ConfigReading = {
-  /** Where to watch on from; undefined: history is lost, read it whole. */
+  /** Position to watch from; undefined: history was lost, read it again. */
   readonly place?: StorePlace;
-  /** Absent when it has not changed, or there is none. */
+  /** Absent if it has not changed or does not exist. */
   readonly config?: RouteConfig;
 };
 
-/** All that an adapter gives. */
+/** What a platform adapter provides. */
 export type PlatformPort = {
   readonly dialect: Dialect;
   readonly store: Store;
--- a/src/gateway/position.ts
+++ b/src/gateway/position.ts
@@ -1,40 +1,37 @@
 /**
- * Places in the store's history, as one number. A store that comes back from an
- * older copy gives its revisions out again, so a revision alone names no place:
- * the era comes first, then the revision. What compares places compares these.
+ * Positions in the store's history, encoded as one number that orders by era and
+ * then by revision. A store that is restored from a backup reuses revisions, so a
+ * revision alone is ambiguous.
  */
 
-/** A place: greater is later. Negative: before all places. */
+/** A position in the store's history; greater is later, negative precedes all. */
 export type Position = number;
 
 /**
- * Revisions of one era: ten years of 3,200 writes a second. 8,191 eras fit above
- * them into the integers that a number holds exactly.
+ * Upper bound on the revisions of one era: ten years at 3,200 writes a second.
+ * Leaves room for 8,191 eras below `Number.MAX_SAFE_INTEGER`.
  */
-const ERA_SPAN = 2 ** 40;
+const REVISIONS_PER_ERA = 2 ** 40;
 
-/** A place as the store names it. */
+/** A position as the store reports it. */
 export type StorePlace = {
-  /** Rises with each write; lower after the store came back from a copy. */
+  /** Increases with each write; lower after a restore from a backup. */
   readonly revision: number;
-  /**
-   * How often the store came back from an older copy of itself; undefined: it
-   * doesn't say.
-   */
+  /** Number of restores from a backup; undefined if the store reports none. */
   readonly era?: number;
 };
 
 /** The position of a revision in an era. */
 export function positionOf(era: number, revision: number): Position {
-  return era * ERA_SPAN + revision;
+  return era * REVISIONS_PER_ERA + revision;
 }
 
-/** The era of a position; 0 before all places. */
+/** The era of a position; 0 for a negative position. */
 export function eraOf(position: Position): number {
-  return Math.max(0, Math.floor(position / ERA_SPAN));
+  return Math.max(0, Math.floor(position / REVISIONS_PER_ERA));
 }
 
-/** The revision of a position within its era; negative before all places. */
+/** The revision of a position within its era; negative for a negative one. */
 export function revisionOf(position: Position): number {
-  return position < 0 ? position : position % ERA_SPAN;
+  return position < 0 ? position : position % REVISIONS_PER_ERA;
 }
--- a/src/gateway/program.ts
+++ b/src/gateway/program.ts
@@ -1,4 +1,4 @@
-/** The gateway as a program: its command line, settings and signals. */
+/** The gateway's program: command line, settings file and signals. */
 import { watchFile } from "node:fs";
 import {
   makeCommand,
@@ -6,42 +6,42 @@
   settingsOrExit,
 } from "../programs/common/command.ts";
 import { ExitCode } from "../programs/common/exit_code.ts";
-// Not the folder's entry file: other programs' schemas take time at the start.
+// Not the folder's entry file: loading other programs' schemas slows startup.
 import { GatewaySchema, type GatewaySettings } from "../settings/gateway.ts";
 import { faultLine, loadSettings } from "../settings/load.ts";
 import { onReload } from "./early_reload.ts";
 import { startGateway } from "./gateway.ts";
 import type { PlatformPort } from "./port.ts";
 
-/** The settings file may change without a signal: it is looked at so often. */
-const LOOK_MS = 2000;
+/** Interval at which the settings file is checked for changes. */
+const SETTINGS_POLL_INTERVAL_MS = 2000;
 
 const EXAMPLES = `
 Examples:
   otterhill-gateway --settings /etc/otterhill/gateway.toml
   otterhill-gateway --check-settings /etc/otterhill/gateway.toml
 
-Signals: SIGTERM finishes what runs and ends; SIGHUP reads the settings again.
-Exit codes: 0 done, 1 could not run, 2 faulty command line or settings.`;
+Signals: SIGTERM finishes open requests and exits; SIGHUP reloads the settings.
+Exit codes: 0 success, 1 failed to run, 2 invalid command line or settings.`;
 
 type Flags = { readonly settings?: string; readonly checkSettings?: string };
 
-/** What the program needs from the adapter that starts it. */
+/** What the platform adapter provides to the program. */
 export type GatewayProgram = {
-  /** Makes the ports of the platform. */
+  /** Creates the platform port. */
   connect(settings: GatewaySettings): PlatformPort;
-  /** Settings file when the command line names none. */
+  /** Settings file to use if the command line names none. */
   readonly usualSettings: string | undefined;
 };
 
-/** Runs the gateway until it is told to stop. */
+/** Runs the gateway until it receives a stop signal. */
 export async function runGateway(program: GatewayProgram): Promise<void> {
   const command = makeCommand(
     "otterhill-gateway",
     "Routes requests over the platform's replicas.",
   )
     .option("-s, --settings <file>", "settings of this host (TOML)")
-    .option("--check-settings <file>", "check a settings file and end")
+    .option("--check-settings <file>", "check a settings file and exit")
     .addHelpText("after", EXAMPLES)
     .parse();
   const flags = command.opts<Flags>();
@@ -62,14 +62,18 @@
   const settings = settingsOrExit(file, GatewaySchema);
   const gateway = await startGateway(settings, program.connect(settings));
   const reload = (cause: string) => {
-    const read = loadSettings(file, GatewaySchema);
-    if (read.ok) gateway.reload(read.val, cause);
-    else gateway.noteFault(read.val.map(faultLine).join("; "));
+    const loaded = loadSettings(file, GatewaySchema);
+    if (loaded.ok) gateway.reload(loaded.val, cause);
+    else gateway.noteFault(loaded.val.map(faultLine).join("; "));
   };
   onReload(() => reload("SIGHUP"));
-  watchFile(file, { interval: LOOK_MS }, (now, before) => {
-    if (now.mtimeMs !== before.mtimeMs) reload("the file changed");
-  }).unref();
+  watchFile(
+    file,
+    { interval: SETTINGS_POLL_INTERVAL_MS },
+    (current, previous) => {
+      if (current.mtimeMs !== previous.mtimeMs) reload("the file changed");
+    },
+  ).unref();
   onStopSignal(() => {
     void gateway.stop().then(() => process.exit(ExitCode.ok));
   });
--- a/src/gateway/suspension.ts
+++ b/src/gateway/suspension.ts
@@ -1,57 +1,56 @@
 /**
- * Notices that the machine was suspended. The steady clock stands still while it
- * is, so whatever this process measures by it seems younger than it is; the time
- * of day goes on. A step of the time of day looks the same: then beliefs are
- * renewed without need, which costs a host a few calls and the requests with keys
- * of some hundred milliseconds, where trusting them could serve a key that was
- * taken away meanwhile.
+ * Detects that the machine was suspended. The monotonic clock stops during a
+ * suspension, so cached data appears younger than it is, while the wall clock
+ * continues. A forward step of the wall clock is treated as a suspension as well:
+ * this only causes an extra refresh, whereas a missed suspension could accept a
+ * key that was revoked in the meantime.
  */
 import type { Milliseconds } from "../util/units.ts";
 
 /**
- * A lead of the time of day over the steady clock that grows by more than this
- * between two looks: well above what a slewed clock gains (500 ppm), below the
- * margins of the bounds on beliefs (a second and more).
+ * The wall clock must gain more than this on the monotonic clock between two
+ * checks. Well above the drift of a slewed clock (500 ppm), and below the safety
+ * margins of cache TTLs (at least one second).
  */
-const LEAST_MS = 200;
+const MIN_SUSPENSION_MS = 200;
 
-/** What a watch reads, and whom it tells. */
-export type SuspensionSource = {
-  /** The steady clock. */
+/** Options of {@link SuspensionWatch}. */
+export type SuspensionWatchOptions = {
+  /** Reads the monotonic clock. */
   readonly steadyNow: () => Milliseconds;
-  /** The time of day. */
+  /** Reads the wall clock. */
   readonly dayNow: () => Milliseconds;
 };
 
-/** Told how long the machine seems to have been suspended. */
+/** Receives the estimated duration of the suspension. */
 export type SuspensionListener = (forMs: Milliseconds) => void;
 
-/** Compares the two clocks whenever it is asked. */
+/** Detects suspensions by comparing the two clocks on each check. */
 export class SuspensionWatch {
-  readonly #source: SuspensionSource;
+  readonly #options: SuspensionWatchOptions;
   readonly #listeners: SuspensionListener[] = [];
-  #leadMs: Milliseconds;
+  #offsetMs: Milliseconds;
   #count = 0;
 
-  constructor(source: SuspensionSource) {
-    this.#source = source;
-    this.#leadMs = source.dayNow() - source.steadyNow();
+  constructor(options: SuspensionWatchOptions) {
+    this.#options = options;
+    this.#offsetMs = options.dayNow() - options.steadyNow();
   }
 
-  /** Calls `listener` after each suspension, before anything is decided. */
+  /** Calls `listener` after each suspension, within {@link check}. */
   listen(listener: SuspensionListener): void {
     this.#listeners.push(listener);
   }
 
   /**
-   * Suspensions so far. To be called before a belief's age is used, and around
-   * whatever counts from the moment at which it began.
+   * Returns the number of suspensions so far. Call it before using the age of
+   * cached data, and before and after an operation whose duration matters.
    */
   check(): number {
-    const leadMs = this.#source.dayNow() - this.#source.steadyNow();
-    const forMs = leadMs - this.#leadMs;
-    this.#leadMs = leadMs;
-    if (forMs <= LEAST_MS) return this.#count;
+    const offsetMs = this.#options.dayNow() - this.#options.steadyNow();
+    const forMs = offsetMs - this.#offsetMs;
+    this.#offsetMs = offsetMs;
+    if (forMs <= MIN_SUSPENSION_MS) return this.#count;
     this.#count += 1;
     for (const listener of this.#listeners) listener(forMs);
     return this.#count;
--- a/test/gateway/dialect.ts
+++ b/test/gateway/dialect.ts
@@ -1,4 +1,4 @@
-/** A dialect for tests, in names that no platform uses. */
+/** A dialect for tests; no platform uses its header names. */
 import {
   type BackoffHeader,
   type CallHead,
@@ -8,10 +8,9 @@
   withoutHeaders,
 } from "../../src/gateway/mod.ts";
 
-const OWN =
+const GATEWAY_HEADERS =
   /^x-(mode|incarnation|patience|export|reservation|not-run|customer)$/;
 
-/** The tests' dialect. */
 export const testDialect: Dialect = {
   readRequest: (headers) => {
     const tokens = String(headers["x-tokens"] ?? "").split(",");
@@ -27,8 +26,8 @@
     };
   },
   callHeaders: (raw, head) => [
-    ...withoutHeaders(raw, (name) => OWN.test(name)),
-    ...ownHeaders(head),
+    ...withoutHeaders(raw, (name) => GATEWAY_HEADERS.test(name)),
+    ...gatewayHeaders(head),
   ],
   readAnswer: (status, headers) => {
     const id = headers["x-id"];
@@ -41,13 +40,13 @@
       limit: limitOf(headers["x-limit"]),
     };
   },
-  readExport: (body) => field(body, "export"),
-  reserve: (tokens, lifeMs) => ({
+  readExport: (body) => stringField(body, "export"),
+  reserve: (tokens, ttlMs) => ({
     method: "POST",
     path: "/reserve",
-    body: JSON.stringify({ tokens, lifeMs }),
+    body: JSON.stringify({ tokens, lifeMs: ttlMs }),
   }),
-  readReservation: (body) => field(body, "reservation"),
+  readReservation: (body) => stringField(body, "reservation"),
   dropReservation: (id) => ({ method: "DELETE", path: `/reserve/${id}` }),
   dropExport: (id) => ({ method: "DELETE", path: `/export/${id}` }),
   report: { method: "GET", path: "/report" },
@@ -64,7 +63,7 @@
   retryAfterHeader: "retry-after",
 };
 
-/** Milliseconds. */
+/** The header holds milliseconds. */
 function backoffOf(value: string | string[] | undefined): BackoffHeader {
   if (value === undefined) return { type: "none" };
   const forMs = Number(value);
@@ -79,17 +78,17 @@
   return { type: "unreadable", text: String(value) };
 }
 
-function ownHeaders(head: CallHead): string[] {
-  const own = ["x-incarnation", head.replica];
-  if (head.mode === CallMode.prefill) own.push("x-mode", "prefill");
-  if (head.customer) own.push("x-customer", head.customer);
-  if (head.export) own.push("x-export", head.export.id);
-  if (head.reservation) own.push("x-reservation", head.reservation);
-  if (head.lastEventId) own.push("last-event-id", head.lastEventId);
-  return own;
+function gatewayHeaders(head: CallHead): string[] {
+  const headers = ["x-incarnation", head.replica];
+  if (head.mode === CallMode.prefill) headers.push("x-mode", "prefill");
+  if (head.customer) headers.push("x-customer", head.customer);
+  if (head.export) headers.push("x-export", head.export.id);
+  if (head.reservation) headers.push("x-reservation", head.reservation);
+  if (head.lastEventId) headers.push("last-event-id", head.lastEventId);
+  return headers;
 }
 
-function field(body: string, name: string): string | undefined {
+function stringField(body: string, name: string): string | undefined {
   const value = (JSON.parse(body) as Record<string, unknown>)[name];
   return typeof value === "string" ? value : undefined;
 }
--- a/test/gateway/early_reload_test.ts
+++ b/test/gateway/early_reload_test.ts
@@ -1,9 +1,9 @@
-/** SIGHUP ends nothing, not even while the program still loads. */
+/** Guards against a SIGHUP ending the process while the program loads. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { keepReloads, onReload } from "../../src/gateway/early_reload.ts";
 
-test("a SIGHUP that comes too early is carried out once, later ones each", () => {
+test("early SIGHUPs cause one reload, later ones one reload each", () => {
   keepReloads();
   process.emit("SIGHUP");
   process.emit("SIGHUP");
--- a/test/gateway/never_suspended.ts
+++ b/test/gateway/never_suspended.ts
@@ -1,7 +1,6 @@
-/** A machine that is never suspended, for tests. */
 import { SuspensionWatch } from "../../src/gateway/suspension.ts";
 
-/** Both clocks go alike. */
+/** A suspension watch, for tests, whose clocks never differ. */
 export function neverSuspended(): SuspensionWatch {
   return new SuspensionWatch({ steadyNow: () => 0, dayNow: () => 0 });
 }
--- a/test/gateway/observe/observe_test.ts
+++ b/test/gateway/observe/observe_test.ts
@@ -1,4 +1,4 @@
-/** Logs and metrics: bounded, never blocking, readable. */
+/** Guards against unbounded, blocking or unreadable logs and metrics. */
 import assert from "node:assert/strict";
 import { readFileSync } from "node:fs";
 import { test } from "node:test";
@@ -10,29 +10,29 @@
 } from "../../../src/gateway/observe/line_writer.ts";
 import { Metrics } from "../../../src/gateway/observe/metrics.ts";
 
-function logInto(lines: string[], now: () => number) {
+function openTestLog(lines: string[], now: () => number) {
   const write: RawWrite = (bytes, done) => {
     lines.push(...bytes.toString().trim().split("\n"));
     done(null, bytes.length);
   };
   const clock = { now, after: () => () => undefined };
   const writer = new LineWriter(write);
-  const source = { program: "p", host: "h", level: "info" as const };
-  return openEventLog({ ...source, clock, writer });
+  const options = { program: "p", host: "h", level: "info" as const };
+  return openEventLog({ ...options, clock, writer });
 }
 
-function settled(): Promise<void> {
+function nextImmediates(): Promise<void> {
   return new Promise((resolve) => setImmediate(() => setImmediate(resolve)));
 }
 
-test("a burst of one kind of event is cut off and what is left out counted", async () => {
+test("a burst of one kind of event is rate-limited and the suppressed events are counted", async () => {
   const lines: string[] = [];
   let now = 0;
-  const log = logInto(lines, () => now);
+  const log = openTestLog(lines, () => now);
   for (let count = 0; count < 1000; count++) log.note("refused", { count });
   now = 1000;
   log.note("refused", { count: 1000 });
-  await settled();
+  await nextImmediates();
   const { perSecond } = EVENT_KINDS.refused;
   assert.equal(lines.length, perSecond + 1);
   const last = JSON.parse(lines.at(-1) ?? "{}") as Record<string, unknown>;
@@ -40,45 +40,45 @@
   assert.equal(last["event"], "refused");
 });
 
-test("a reader that stops reading blocks nothing; lines are dropped", () => {
+test("a reader that stops reading does not block writes; lines are dropped", () => {
   let writes = 0;
-  const stuck: RawWrite = () => {
+  const stuckWrite: RawWrite = () => {
     writes += 1;
   };
-  const writer = new LineWriter(stuck);
+  const writer = new LineWriter(stuckWrite);
   for (let count = 0; count < 10_000; count++) writer.write("x".repeat(99));
   assert.ok(writes <= 1);
-  assert.ok(writer.takeDropped() > 7000);
-  assert.equal(writer.takeDropped(), 0);
+  assert.ok(writer.resetDroppedCount() > 7000);
+  assert.equal(writer.resetDroppedCount(), 0);
 });
 
-test("what is written in parts comes whole and in order", async () => {
+test("partial writes are continued without loss and in order", async () => {
   let text = "";
-  const parts: RawWrite = (bytes, done) => {
+  const partialWrite: RawWrite = (bytes, done) => {
     text += bytes.subarray(0, 3).toString();
     done(null, Math.min(3, bytes.length));
   };
-  const writer = new LineWriter(parts);
+  const writer = new LineWriter(partialWrite);
   writer.write("first\n");
   writer.write("second\n");
   await new Promise<void>((resolve) => {
-    const look = () =>
-      text.endsWith("second\n") ? resolve() : setTimeout(look, 5);
-    look();
+    const poll = () =>
+      text.endsWith("second\n") ? resolve() : setTimeout(poll, 5);
+    poll();
   });
   assert.equal(text, "first\nsecond\n");
 });
 
-test("the catalogue of events and docs/OPERATIONS.md name the same events", () => {
+test("the event catalogue and docs/OPERATIONS.md list the same events", () => {
   const [page = ""] = readFileSync("docs/OPERATIONS.md", "utf8")
     .split("## Metrics");
-  const named = [...page.matchAll(/^\| `([a-zA-Z]+)` \|/gm)].map((one) =>
-    one[1] ?? ""
+  const named = [...page.matchAll(/^\| `([a-zA-Z]+)` \|/gm)].map((match) =>
+    match[1] ?? ""
   );
   assert.deepEqual(named.sort(), Object.keys(EVENT_KINDS).sort());
 });
 
-test("the metrics page has a line and a type for each figure", () => {
+test("the metrics page has a sample line for each metric", () => {
   const metrics = new Metrics();
   metrics.count("requests", 3);
   metrics.time("whole", 250);
--- a/test/gateway/quiet_eras.ts
+++ b/test/gateway/quiet_eras.ts
@@ -1,7 +1,6 @@
-/** The eras of a store, with nobody to tell of them. */
 import { StoreEras } from "../../src/gateway/state/store_eras.ts";
 
-/** No era is known yet. */
+/** Store eras for tests, with no known era and a log that does nothing. */
 export function quietEras(): StoreEras {
   return new StoreEras({ note: () => undefined });
 }
--- a/test/gateway/raw_replica.ts
+++ b/test/gateway/raw_replica.ts
@@ -1,29 +1,29 @@
-/** A replica whose every byte a test decides. */
+/** A replica for tests, whose raw response bytes the test writes. */
 import { createServer, type Server, type Socket } from "node:net";
 
-/** A request as a raw replica has read it. */
+/** A request that a raw replica received. */
 export type RawRequest = {
   readonly method: string;
   readonly path: string;
   readonly headers: ReadonlyMap<string, string>;
   readonly body: string;
-  /** Counts the requests of this replica from 1. */
+  /** Sequence number of the request at this replica, from 1. */
   readonly number: number;
 };
 
-/** Answers one request with whatever bytes. */
+/** Writes the response to a request. */
 export type RawAnswer = (request: RawRequest, socket: Socket) => void;
 
 /** A listening raw replica. */
 export type RawReplica = {
   readonly address: string;
   readonly requests: RawRequest[];
-  /** Connections that were opened to it. */
+  /** Number of connections that were opened to it. */
   connections(): number;
   stop(): void;
 };
 
-/** Starts a raw replica on a free port. */
+/** Starts a raw replica on a free port of the loopback interface. */
 export async function startRawReplica(answer: RawAnswer): Promise<RawReplica> {
   const requests: RawRequest[] = [];
   const sockets = new Set<Socket>();
@@ -62,7 +62,7 @@
 
 function readRequests(
   socket: Socket,
-  take: (request: Omit<RawRequest, "number">) => void,
+  onRequest: (request: Omit<RawRequest, "number">) => void,
 ): void {
   let text = "";
   socket.on("data", (bytes) => {
@@ -70,15 +70,15 @@
     for (;;) {
       const end = text.indexOf("\r\n\r\n");
       if (end < 0) return;
-      const [first = "", ...lines] = text.slice(0, end).split("\r\n");
+      const [requestLine = "", ...lines] = text.slice(0, end).split("\r\n");
       const headers = new Map(lines.map(headerOf));
       const length = Number(headers.get("content-length") ?? 0);
       const bodyEnd = end + 4 + length;
       if (text.length < bodyEnd) return;
       const body = text.slice(end + 4, bodyEnd);
       text = text.slice(bodyEnd);
-      const [method = "", path = ""] = first.split(" ");
-      take({ method, path, headers, body });
+      const [method = "", path = ""] = requestLine.split(" ");
+      onRequest({ method, path, headers, body });
     }
   });
 }
@@ -89,7 +89,7 @@
   return [name, line.slice(colon + 1).trim()];
 }
 
-/** A whole answer with a length. */
+/** A complete response with `Content-Length`. */
 export function whole(
   request: RawRequest,
   body: string,
@@ -105,7 +105,7 @@
   ].join("\r\n");
 }
 
-/** The head of an answer in chunks. */
+/** The status line and headers of a chunked response. */
 export function chunkedHead(
   request: RawRequest,
   extra: readonly string[] = [],
@@ -120,7 +120,7 @@
   ].join("\r\n");
 }
 
-/** One chunk; an empty text ends the body. */
+/** A chunk of a body; an empty text is the final chunk. */
 export function chunk(text: string): string {
   return `${Buffer.byteLength(text).toString(16)}\r\n${text}\r\n`;
 }
--- a/test/gateway/replica_entry.ts
+++ b/test/gateway/replica_entry.ts
@@ -1,7 +1,6 @@
-/** An entry of a replica, for tests. */
 import type { ReplicaEntry } from "../../src/gateway/mod.ts";
 
-/** A replica that takes work; `change` says what matters to a test. */
+/** Returns an entry of a serving replica for tests; `change` overrides its fields. */
 export function replicaEntry(
   incarnation: string,
   change: Partial<ReplicaEntry> = {},
--- a/test/gateway/rig.ts
+++ b/test/gateway/rig.ts
@@ -1,4 +1,4 @@
-/** A gateway's callers' side over raw replicas, with a caller for tests. */
+/** Test rig: the caller-facing server of a gateway, raw replicas and a caller. */
 import { Agent, request } from "node:http";
 import {
   CallerServer,
@@ -34,8 +34,8 @@
 } from "./raw_replica.ts";
 import { quietEras } from "./quiet_eras.ts";
 
-/** A long time: nothing in these tests may depend on its length. */
-const AMPLE_MS = 20_000;
+/** For timeouts that must not expire during a test. */
+const TEST_TIMEOUT_MS = 20_000;
 
 /** A replica of a rig. */
 export type RigReplica = {
@@ -43,27 +43,27 @@
   readonly stage?: ReplicaStage;
 };
 
-/** What a rig is made from. */
+/** Options of {@link startRig}. */
 export type RigSource = {
   readonly route?: Partial<Route>;
   readonly engine?: Service["engine"];
   readonly replicas: readonly RigReplica[];
   readonly customers?: readonly Customer[];
-  /** Age of the host's word of the configuration; 0 unless it is given. */
+  /** Age of the host's configuration; 0 by default. */
   readonly configAgeMs?: () => number;
-  /** Grants all at once unless it is given. */
+  /** Grants every request at once by default. */
   readonly quotas?: CallerServerSource["quotas"];
   readonly budget?: { readonly ratio: number; readonly extra: number };
-  /** The host's clock, where a test decides when time passes; timers are real. */
+  /** Replaces the time of the host's clock; its timers stay real. */
   readonly now?: () => number;
 };
 
-/** What a caller saw. */
+/** A response as the caller received it. */
 export type Seen = {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
   readonly body: string;
-  /** The answer's framing came to its end. */
+  /** The body was received completely. */
   readonly complete: boolean;
 };
 
@@ -73,16 +73,16 @@
   readonly replicas: readonly RawReplica[];
   readonly events: { readonly name: string; readonly fields: object }[];
   readonly address: string;
-  /** Sends a request; rejects when no head comes. */
+  /** Sends a request; rejects if no response headers are received. */
   call(options?: CallOptions): Promise<Seen>;
-  /** Resolves once the replicas were sent so many requests. */
+  /** Resolves once the replicas have received `count` requests. */
   arrived(count: number): Promise<void>;
-  /** The caller closes all its connections. */
+  /** Closes all connections of the caller. */
   leave(): void;
   stop(): void;
 };
 
-/** What a caller sends. */
+/** A caller's request. */
 export type CallOptions = {
   readonly id?: string;
   readonly path?: string;
@@ -91,14 +91,14 @@
   readonly body?: string;
 };
 
-/** An engine with room for everything. */
+/** A model engine with ample capacity. */
 export const ENGINE: NonNullable<Service["engine"]> = {
   slots: 8,
   cacheTokens: 10_000,
-  exportMs: AMPLE_MS,
-  reservationMs: AMPLE_MS,
+  exportMs: TEST_TIMEOUT_MS,
+  reservationMs: TEST_TIMEOUT_MS,
   tokensPerEvent: 1,
-  switchMs: AMPLE_MS,
+  switchMs: TEST_TIMEOUT_MS,
 };
 
 const ROUTE: Route = {
@@ -106,10 +106,10 @@
   host: "example",
   pathPrefix: "/a/",
   kind: RouteKind.safe,
-  timeoutMs: AMPLE_MS,
-  objectiveMs: AMPLE_MS,
-  gapMs: AMPLE_MS,
-  silenceMs: AMPLE_MS,
+  timeoutMs: TEST_TIMEOUT_MS,
+  objectiveMs: TEST_TIMEOUT_MS,
+  gapMs: TEST_TIMEOUT_MS,
+  silenceMs: TEST_TIMEOUT_MS,
   attempts: 2,
   priority: 1,
   targets: [{ service: "service", weight: 1 }],
@@ -117,7 +117,7 @@
   anonymous: false,
 };
 
-const FREE_QUOTAS: CallerServerSource["quotas"] = {
+const UNLIMITED_QUOTAS: CallerServerSource["quotas"] = {
   take: () =>
     Promise.resolve({
       type: "granted",
@@ -126,26 +126,26 @@
     }),
 };
 
-/** Starts replicas and a gateway before them. */
-export async function startRig(source: RigSource): Promise<Rig> {
+/** Starts raw replicas and a caller-facing server for them. */
+export async function startRig(options: RigSource): Promise<Rig> {
   const replicas = await Promise.all(
-    source.replicas.map((one) => startRawReplica(one.answer)),
+    options.replicas.map((replica) => startRawReplica(replica.answer)),
   );
   const events: { name: string; fields: object }[] = [];
-  const context = createTestContext(source, events);
+  const context = createTestContext(options, events);
   context.replicas.adopt({
     revision: 1,
-    entries: replicas.map((one, at) => entryOf(one, source, at)),
+    entries: replicas.map((replica, index) => entryOf(replica, options, index)),
   });
   const callers = new CallerServer({
     context,
     places: new Places(context, new PlanService(context), () => []),
     admission: {
       routes: context.routes,
-      configAgeMs: () => source.configAgeMs?.() ?? 0,
-      maxConfigAgeMs: () => AMPLE_MS,
+      configAgeMs: () => options.configAgeMs?.() ?? 0,
+      maxConfigAgeMs: () => TEST_TIMEOUT_MS,
     },
-    quotas: source.quotas ?? FREE_QUOTAS,
+    quotas: options.quotas ?? UNLIMITED_QUOTAS,
   });
   const port = await new Promise<number>((resolve) => {
     callers.server.listen(0, "127.0.0.1", () => {
@@ -159,10 +159,13 @@
     replicas,
     events,
     address: `127.0.0.1:${port}`,
-    call: (options = {}) => call(port, agent, options),
+    call: (callOptions = {}) => call(port, agent, callOptions),
     arrived: async (count) => {
-      const sent = () => replicas.flatMap((one) => one.requests).length;
-      while (sent() < count) await new Promise((go) => setTimeout(go, 5));
+      const receivedCount = () =>
+        replicas.flatMap((replica) => replica.requests).length;
+      while (receivedCount() < count) {
+        await new Promise((resolve) => setTimeout(resolve, 5));
+      }
     },
     leave: () => agent.destroy(),
     stop: () => {
@@ -170,17 +173,17 @@
       callers.server.closeAllConnections();
       callers.server.close();
       context.pool.close();
-      for (const one of replicas) one.stop();
+      for (const replica of replicas) replica.stop();
     },
   };
 }
 
-/** Starts a rig for the time of `work`. */
+/** Runs `work` with a rig and stops the rig afterwards. */
 export async function withRig(
-  source: RigSource,
+  options: RigSource,
   work: (rig: Rig) => Promise<void>,
 ): Promise<void> {
-  const rig = await startRig(source);
+  const rig = await startRig(options);
   try {
     await work(rig);
   } finally {
@@ -190,13 +193,13 @@
 
 function entryOf(
   replica: RawReplica,
-  source: RigSource,
-  at: number,
+  options: RigSource,
+  index: number,
 ): ReplicaEntry {
-  const stage = source.replicas[at]?.stage;
+  const stage = options.replicas[index]?.stage;
   return {
-    id: `r${at}`,
-    incarnation: `r${at}`,
+    id: `r${index}`,
+    incarnation: `r${index}`,
     service: "service",
     address: replica.address,
     hall: "hall",
@@ -208,30 +211,34 @@
 }
 
 function createTestContext(
-  source: RigSource,
+  options: RigSource,
   events: { name: string; fields: object }[],
 ): GatewayContext {
   const routes = new RouteTable();
-  const { engine, budget } = source;
+  const { engine, budget } = options;
   routes.adopt({
     version: 1,
-    routes: [{ ...ROUTE, ...source.route }],
+    routes: [{ ...ROUTE, ...options.route }],
     services: [{
       name: "service",
       connectionLimit: 100,
       ...(engine ? { engine } : {}),
     }],
-    ...(source.customers ? { customers: source.customers } : {}),
-    limits: { bodyBytes: 1 << 20, headerMs: AMPLE_MS, idleMs: AMPLE_MS },
+    ...(options.customers ? { customers: options.customers } : {}),
+    limits: {
+      bodyBytes: 1 << 20,
+      headerMs: TEST_TIMEOUT_MS,
+      idleMs: TEST_TIMEOUT_MS,
+    },
   });
-  const rule = { windowMs: AMPLE_MS, ratio: 0, extra: 10 };
+  const rule = { windowMs: TEST_TIMEOUT_MS, ratio: 0, extra: 10 };
   const log = {
     note: (name: string, fields?: object) =>
       void events.push({ name, fields: fields ?? {} }),
   };
   const metrics = new Metrics();
   const replicas = new ReplicaTable();
-  const clock = { ...systemClock, now: source.now ?? systemClock.now };
+  const clock = { ...systemClock, now: options.now ?? systemClock.now };
   const limits = loneLimits({
     clock,
     events: log,
@@ -247,31 +254,32 @@
     dialect: testDialect,
     routes,
     replicas,
-    budget: new RetryBudget({ ...rule, ...budget }, -AMPLE_MS),
-    pool: new UpstreamPool(clock, AMPLE_MS),
+    budget: new RetryBudget({ ...rule, ...budget }, -TEST_TIMEOUT_MS),
+    pool: new UpstreamPool(clock, TEST_TIMEOUT_MS),
     crashes: new CrashWatch({
       clock,
       events: log,
       metrics,
-      rule: { most: 3, lifeMs: AMPLE_MS },
+      rule: { most: 3, lifeMs: TEST_TIMEOUT_MS },
       isLeaving: (entry) => replicas.isLeaving(entry),
-      probe: (address) => probeAddress(address, { clock, timeoutMs: AMPLE_MS }),
+      probe: (address) =>
+        probeAddress(address, { clock, timeoutMs: TEST_TIMEOUT_MS }),
     }),
     limits,
     ...loneGate({ clock, events: log, replicas, limits }),
     events: log,
     metrics,
     tuning: {
-      reserveTimeoutMs: AMPLE_MS,
-      prefillTimeoutMs: AMPLE_MS,
+      reserveTimeoutMs: TEST_TIMEOUT_MS,
+      prefillTimeoutMs: TEST_TIMEOUT_MS,
       retryAfterObjectives: 1,
-      stallMs: AMPLE_MS,
+      stallMs: TEST_TIMEOUT_MS,
       outputMargin: 1,
       memoryShare: 1,
       farCharge: 0.1,
     },
     hostCount: () => 1,
-    stop: { graceMs: AMPLE_MS },
+    stop: { graceMs: TEST_TIMEOUT_MS },
   };
 }
 
@@ -282,7 +290,7 @@
 ): Promise<Seen> {
   const { id = "1", path = "/a/b", method = "GET", body = "" } = options;
   return new Promise((resolve, reject) => {
-    const sending = request({
+    const clientRequest = request({
       host: "127.0.0.1",
       port,
       path,
@@ -290,19 +298,19 @@
       agent,
       headers: { host: "example", "x-id": id, ...options.headers },
     });
-    sending.on("error", reject);
-    sending.on("response", (answer) => {
+    clientRequest.on("error", reject);
+    clientRequest.on("response", (response) => {
       let text = "";
-      answer.on("error", () => undefined);
-      answer.on("data", (bytes: Buffer) => text += bytes.toString());
-      answer.on("close", () =>
+      response.on("error", () => undefined);
+      response.on("data", (bytes: Buffer) => text += bytes.toString());
+      response.on("close", () =>
         resolve({
-          status: answer.statusCode ?? 0,
-          headers: answer.headers,
+          status: response.statusCode ?? 0,
+          headers: response.headers,
           body: text,
-          complete: answer.complete,
+          complete: response.complete,
         }));
     });
-    sending.end(body === "" ? undefined : body);
+    clientRequest.end(body === "" ? undefined : body);
   });
 }
