--- a/src/gateway/replicas/backoffs.ts
+++ b/src/gateway/replicas/backoffs.ts
@@ -1,91 +1,91 @@
 /**
- * Replicas that asked this host to send them nothing for a time. It is no
- * failure, says nothing of how they serve others, and only time ends it: a
- * success that was under way when a replica asked doesn't. Afterwards one
- * request tries the replica while others, if they can, go elsewhere.
+ * Backoffs that replicas requested from this host. A backoff isn't a failure
+ * and doesn't apply to other hosts. It ends only by expiry, not by a success of
+ * a request sent before it. Afterwards one trial request is sent, and other
+ * requests prefer other replicas until it is answered.
  */
 import type { Milliseconds } from "../../util/units.ts";
 import { forgetOldest } from "../../util/forget_oldest.ts";
 
-/** A faulty header takes a replica out for no longer than this. */
-const LONGEST_MS: Milliseconds = 10 * 60_000;
-/**
- * Hosts that were asked at the same moment come back over this part of the
- * time, and no longer than this.
- */
-const SPREAD = 0.1;
-const LONGEST_SPREAD_MS: Milliseconds = 500;
-/** A request that tries a replica is waited for so long. */
-const TRIAL_MS: Milliseconds = 500;
-/** Replicas whose backoff is kept. */
-const MOST_REPLICAS = 3000;
+/** Caps a backoff, so that a faulty header can't disable a replica for good. */
+const MAX_BACKOFF_MS: Milliseconds = 10 * 60_000;
+/** Random extension, as a share of the backoff, so that hosts don't resume at once. */
+const JITTER_RATIO = 0.1;
+const MAX_JITTER_MS: Milliseconds = 500;
+/** Maximum wait for the response to a trial request. */
+const TRIAL_TIMEOUT_MS: Milliseconds = 500;
+/** Maximum number of replicas whose backoff is stored. */
+const MAX_REPLICAS = 3000;
 
 type Backoff = {
   until: Milliseconds;
-  /** A request tries the replica until then. */
+  /** A trial request is in flight until then at most. */
   trialUntil: Milliseconds;
 };
 
-/** Backoffs by the replicas' incarnations. */
+/** Backoffs by incarnation of the replica. */
 export class Backoffs {
   readonly #random: () => number;
   readonly #backoffs = new Map<string, Backoff>();
 
-  /** `random` gives numbers in [0, 1). */
+  /** `random` returns numbers in [0, 1). */
   constructor(random: () => number) {
     this.#random = random;
   }
 
-  /** Replicas that asked, and of which no success is known since. */
+  /** Number of replicas that have accepted no request since their backoff. */
   get size(): number {
     return this.#backoffs.size;
   }
 
-  /** The replica asks for `forMs`; gives whether it was in use until now. */
-  ask(incarnation: string, forMs: Milliseconds, now: Milliseconds): boolean {
+  /** Starts or extends a backoff; returns whether none was in force before. */
+  start(incarnation: string, forMs: Milliseconds, now: Milliseconds): boolean {
     if (forMs <= 0) return false;
-    const spread = Math.min(LONGEST_SPREAD_MS, forMs * SPREAD);
-    const until = now + Math.min(LONGEST_MS, forMs) + spread * this.#random();
+    const spread = Math.min(MAX_JITTER_MS, forMs * JITTER_RATIO);
+    const until = now + Math.min(MAX_BACKOFF_MS, forMs) +
+      spread * this.#random();
     const before = this.#backoffs.get(incarnation)?.until ?? -Infinity;
-    // The newest are last.
+    // Reinserted at the end: the oldest entries are evicted first.
     this.#backoffs.delete(incarnation);
     this.#backoffs.set(incarnation, {
       until: Math.max(until, before),
       trialUntil: -Infinity,
     });
-    forgetOldest(this.#backoffs, MOST_REPLICAS);
+    forgetOldest(this.#backoffs, MAX_REPLICAS);
     return before <= now;
   }
 
-  /** Time until the replica may be sent something; 0: now. */
+  /** Time until requests may be sent to the replica; 0 when they may now. */
   leftMs(incarnation: string, now: Milliseconds): Milliseconds {
     return Math.max(0, (this.#backoffs.get(incarnation)?.until ?? 0) - now);
   }
 
   /**
-   * The replica was sent a request after its backoff and hasn't answered: time
-   * for which others go elsewhere; 0: they needn't.
+   * Time for which other requests prefer other replicas, since a trial request
+   * is unanswered; 0 when there is none.
    */
-  trialMs(incarnation: string, now: Milliseconds): Milliseconds {
+  trialLeftMs(incarnation: string, now: Milliseconds): Milliseconds {
     return Math.max(
       0,
       (this.#backoffs.get(incarnation)?.trialUntil ?? 0) - now,
     );
   }
 
-  /** A request goes to the replica. */
+  /** Records a send; after the backoff it is a trial request. */
   noteSend(incarnation: string, now: Milliseconds): void {
     const backoff = this.#backoffs.get(incarnation);
-    if (backoff && now >= backoff.until) backoff.trialUntil = now + TRIAL_MS;
+    if (backoff && now >= backoff.until) {
+      backoff.trialUntil = now + TRIAL_TIMEOUT_MS;
+    }
   }
 
-  /** The replica took a request that was sent at `sentAt`. */
-  noteTaken(incarnation: string, sentAt: Milliseconds): void {
+  /** Records that the replica accepted a request that was sent at `sentAt`. */
+  noteAccepted(incarnation: string, sentAt: Milliseconds): void {
     const backoff = this.#backoffs.get(incarnation);
     if (backoff && sentAt >= backoff.until) this.#backoffs.delete(incarnation);
   }
 
-  /** Replicas that are left alone now. */
+  /** Number of replicas whose backoff is in force. */
   count(now: Milliseconds): number {
     const all = [...this.#backoffs.values()];
     return all.filter(({ until }) => until > now).length;
--- a/src/gateway/replicas/choice.ts
+++ b/src/gateway/replicas/choice.ts
@@ -1,42 +1,45 @@
-/** Which replica serves a call; pure, with chance as an argument. */
+/** Chooses the replica for a call; a pure function. */
 import type { Milliseconds } from "../../util/units.ts";
 import type { Replica } from "./replica.ts";
 
-/** What a choice goes by. */
+/** Options of {@link chooseReplica}. */
 export type ChoiceQuery = {
-  /** The data hall that is preferred. */
+  /** The preferred data hall. */
   readonly hall: string;
-  /** What being in another hall counts as, in units of load. */
+  /** Added to the cost of replicas in other halls, in units of load. */
   readonly farCharge: number;
   readonly now: Milliseconds;
-  /** In [0, 1), for ties. */
+  /** A random number in [0, 1), which breaks ties. */
   readonly chance: number;
-  /** Incarnations not to be chosen. */
+  /** Incarnations that must not be chosen. */
   readonly excluded: ReadonlySet<string>;
 };
 
-/** The replica with the least load, rather near, failing ones last. */
+/**
+ * Returns the replica with the lowest cost: its load, the penalty of a remote
+ * hall, and its recent failures. Paused replicas are used only as a last resort.
+ */
 export function chooseReplica(
   replicas: readonly Replica[],
   query: ChoiceQuery,
-  load: (one: Replica) => number,
+  load: (replica: Replica) => number,
 ): Replica | undefined {
-  const fit = replicas.filter((one) =>
-    !query.excluded.has(one.entry.incarnation)
+  const allowed = replicas.filter((replica) =>
+    !query.excluded.has(replica.entry.incarnation)
   );
-  const sound = fit.filter((one) => !one.paused(query.now));
-  const candidates = sound.length > 0 ? sound : fit;
+  const healthy = allowed.filter((replica) => !replica.paused(query.now));
+  const candidates = healthy.length > 0 ? healthy : allowed;
   if (candidates.length === 0) return undefined;
   const start = Math.floor(query.chance * candidates.length);
   let best: Replica | undefined;
   let bestCost = Infinity;
   for (let step = 0; step < candidates.length; step++) {
-    const one = candidates[(start + step) % candidates.length];
-    if (!one) continue;
-    const far = one.entry.hall === query.hall ? 0 : query.farCharge;
-    const cost = load(one) + far + one.failures;
+    const replica = candidates[(start + step) % candidates.length];
+    if (!replica) continue;
+    const penalty = replica.entry.hall === query.hall ? 0 : query.farCharge;
+    const cost = load(replica) + penalty + replica.failures;
     if (cost >= bestCost) continue;
-    best = one;
+    best = replica;
     bestCost = cost;
   }
   return best;
--- a/src/gateway/replicas/create_replica_state.ts
+++ b/src/gateway/replicas/create_replica_state.ts
@@ -1,4 +1,4 @@
-/** What one host knows of replicas, put together. */
+/** Creates one host's state of the replicas. */
 import type { HostId } from "../../util/ids.ts";
 import type { Clock } from "../clock.ts";
 import { ReplicaLimits } from "../limits/replica_limits.ts";
@@ -10,15 +10,15 @@
 import { ReplicaGate } from "./replica_gate.ts";
 import { ReplicaTable } from "./replica_table.ts";
 
-/** Whose knowledge it is, and who the others are. */
-export type ReplicaStateSource = {
+/** Options of {@link createReplicaState}. */
+export type ReplicaStateOptions = {
   readonly self: {
     readonly id: HostId;
     readonly hall: string;
     readonly run: string;
   };
   readonly clock: Clock;
-  /** In [0, 1). */
+  /** Returns numbers in [0, 1). */
   readonly random: () => number;
   readonly events: EventLog;
   readonly metrics: Pick<Metrics, "count">;
@@ -26,7 +26,7 @@
   readonly openLink: (target: LinkTarget, events: LinkEvents) => Link;
 };
 
-/** The replicas, and what decides whether they are sent something. */
+/** The replicas, and what decides whether requests may be sent to them. */
 export type ReplicaState = {
   readonly replicas: ReplicaTable;
   readonly limits: ReplicaLimits;
@@ -34,9 +34,9 @@
   readonly gate: ReplicaGate;
 };
 
-/** What a host knows of replicas when it starts. */
-export function createReplicaState(source: ReplicaStateSource): ReplicaState {
-  const { self, clock, random, events, metrics, directory, openLink } = source;
+/** Creates the empty state of a host that starts. */
+export function createReplicaState(options: ReplicaStateOptions): ReplicaState {
+  const { self, clock, random, events, metrics, directory, openLink } = options;
   const replicas = new ReplicaTable();
   const leaving = new LeavingReplicas(replicas, events);
   const limits = new ReplicaLimits({
@@ -54,7 +54,7 @@
     random,
     events,
     replicas,
-    leaving,
+    draining: leaving,
     limits,
   });
   return { replicas, limits, leaving, gate };
--- a/src/gateway/replicas/leaving_replicas.ts
+++ b/src/gateway/replicas/leaving_replicas.ts
@@ -1,63 +1,65 @@
 /**
- * Replicas that leave, as the store, their own answers or other hosts say. It
- * holds for one start of a replica, for good and for all hosts, so it goes to
- * all of them at once, also while a listing isn't told since it may lack live
- * replicas, or can't be read at all.
+ * Draining replicas, as reported by the store, their own responses or other
+ * hosts. Draining is final for an incarnation and applies to all hosts, so it
+ * is broadcast at once, also while listings are incomplete or can't be read.
  */
 import type { EventLog } from "../observe/event_log.ts";
 import type { ReplicaTable } from "./replica_table.ts";
 
-/** Told what is news here; `from` is whom it came from, if not this host. */
-export type LeavingListener = (
+/**
+ * Called with incarnations that this host didn't know to be draining; `from` is
+ * the sender, undefined when this host observed it.
+ */
+export type DrainingListener = (
   incarnations: readonly string[],
   from: unknown,
 ) => void;
 
-/** What is told to and by the other hosts. */
+/** Collects the draining replicas and notifies listeners of new ones. */
 export class LeavingReplicas {
   readonly #replicas: ReplicaTable;
   readonly #events: EventLog;
-  readonly #listeners: LeavingListener[] = [];
+  readonly #listeners: DrainingListener[] = [];
 
   constructor(replicas: ReplicaTable, events: EventLog) {
     this.#replicas = replicas;
     this.#events = events;
   }
 
-  /** Calls `listener` with all that becomes known. */
-  listen(listener: LeavingListener): void {
+  /** Calls `listener` with each update. */
+  listen(listener: DrainingListener): void {
     this.#listeners.push(listener);
   }
 
-  /** All that is known, for a host that may know nothing. */
+  /** All draining incarnations, for a host that has just connected. */
   all(): readonly string[] {
-    return this.#replicas.leaving();
+    return this.#replicas.draining();
   }
 
-  /** An answer of the replica says so. */
-  heard(incarnation: string, request: string | undefined): void {
-    const news = this.#replicas.noteLeaving([incarnation]);
-    if (news.length === 0) return;
+  /** Records that a response of the replica reported draining. */
+  observe(incarnation: string, request: string | undefined): void {
+    const added = this.#replicas.noteDraining([incarnation]);
+    if (added.length === 0) return;
     const fields = { replica: incarnation, source: "answer", request };
     this.#events.note("replicaLeaving", fields);
-    this.#tell(news, undefined);
+    this.#notify(added, undefined);
   }
 
-  /** The store's listing says so; the table has it from there. */
+  /** Announces replicas that the listing reports; the table has them already. */
   listed(incarnations: readonly string[]): void {
-    this.#tell(incarnations, undefined);
+    this.#notify(incarnations, undefined);
   }
 
-  /** Takes what another host knows. */
+  /** Handles a report of another host. */
   take(incarnations: readonly string[], from: unknown): void {
-    const news = this.#replicas.noteLeaving(incarnations);
-    for (const replica of news) {
+    const added = this.#replicas.noteDraining(incarnations);
+    for (const replica of added) {
       this.#events.note("replicaLeaving", { replica, source: "link" });
     }
-    this.#tell(news, from);
+    this.#notify(added, from);
   }
 
-  #tell(incarnations: readonly string[], from: unknown): void {
+  #notify(incarnations: readonly string[], from: unknown): void {
     if (incarnations.length === 0) return;
     for (const listener of this.#listeners) listener(incarnations, from);
   }
--- a/src/gateway/replicas/listing_history.ts
+++ b/src/gateway/replicas/listing_history.ts
@@ -1,69 +1,72 @@
-/** What changed in the listing of replicas, to tell hosts that follow it. */
+/** Changes of the replica listing, from which deltas for followers are made. */
 import type { ListingDelta, ReplicaEntry } from "./model.ts";
 
-/** Replicas that are gone are told of for so many revisions of the table. */
-const MOST_GONE = 1000;
+/** Maximum number of removed replicas that are remembered. */
+const MAX_REMOVED = 1000;
 
 /** The revisions at which replicas last changed. */
 export class ListingHistory {
-  /** Nothing is known of changes up to this revision. */
-  #from = -1;
+  /** Followers before this revision need the full listing. */
+  #oldestBase = -1;
   #revision = -1;
   #entries: readonly ReplicaEntry[] = [];
   readonly #changedAt = new Map<string, number>();
-  readonly #goneAt = new Map<string, number>();
+  readonly #removedAt = new Map<string, number>();
 
-  /** The table is at `revision` now. */
+  /** Records the changes that led to `revision`. */
   record(
     revision: number,
     entries: readonly ReplicaEntry[],
     change: {
-      /** Ids of replicas that are new, changed or started again. */
+      /** Ids of replicas that are new, changed or restarted. */
       readonly changed: readonly string[];
-      /** Ids that are listed no more. */
-      readonly gone: readonly string[];
+      /** Ids that are no longer listed. */
+      readonly removed: readonly string[];
     },
   ): void {
-    if (this.#revision < 0) this.#from = revision;
+    if (this.#revision < 0) this.#oldestBase = revision;
     this.#revision = revision;
     this.#entries = entries;
     for (const id of change.changed) {
-      this.#goneAt.delete(id);
+      this.#removedAt.delete(id);
       this.#changedAt.set(id, revision);
     }
-    for (const id of change.gone) {
+    for (const id of change.removed) {
       this.#changedAt.delete(id);
-      this.#goneAt.set(id, revision);
+      this.#removedAt.set(id, revision);
     }
-    this.#forgetOldest();
+    this.#evictOldest();
   }
 
-  /** The table is at `revision` now; nothing in it has changed. */
-  move(revision: number): void {
+  /** Advances to a revision without changes. */
+  advance(revision: number): void {
     this.#revision = revision;
   }
 
-  /** What a follower at `revision` lacks; undefined when it lacks nothing. */
-  after(revision: number): ListingDelta | undefined {
+  /**
+   * The changes since `revision`; undefined before the first record and when
+   * `revision` is newer than the table.
+   */
+  deltaSince(revision: number): ListingDelta | undefined {
     if (this.#revision < 0 || revision > this.#revision) return undefined;
-    const whole = revision < this.#from;
-    const since = whole ? -1 : revision;
+    const isFull = revision < this.#oldestBase;
+    const since = isFull ? -1 : revision;
     const isNew = (at: number | undefined) => at !== undefined && at > since;
     const changed = this.#entries.filter(({ id }) =>
-      whole || isNew(this.#changedAt.get(id))
+      isFull || isNew(this.#changedAt.get(id))
     );
-    const gone = whole
+    const gone = isFull
       ? []
-      : [...this.#goneAt].filter(([, at]) => isNew(at)).map(([id]) => id);
+      : [...this.#removedAt].filter(([, at]) => isNew(at)).map(([id]) => id);
     const size = this.#entries.length;
     return { since, revision: this.#revision, changed, gone, size };
   }
 
-  #forgetOldest(): void {
-    for (const [id, at] of this.#goneAt) {
-      if (this.#goneAt.size <= MOST_GONE) return;
-      this.#goneAt.delete(id);
-      this.#from = Math.max(this.#from, at);
+  #evictOldest(): void {
+    for (const [id, at] of this.#removedAt) {
+      if (this.#removedAt.size <= MAX_REMOVED) return;
+      this.#removedAt.delete(id);
+      this.#oldestBase = Math.max(this.#oldestBase, at);
     }
   }
 }
--- a/src/gateway/replicas/model.ts
+++ b/src/gateway/replicas/model.ts
@@ -1,8 +1,8 @@
-/** Replicas of services as the platform lists them. */
+/** Replicas of services, as listed by the platform. */
 import type { Milliseconds } from "../../util/units.ts";
 import type { Position } from "../position.ts";
 
-/** What a model engine does for the system. */
+/** The pool of a model engine. */
 export const ReplicaStage = {
   prefill: "prefill",
   decode: "decode",
@@ -10,54 +10,54 @@
 /** One of the values of {@link ReplicaStage}. */
 export type ReplicaStage = typeof ReplicaStage[keyof typeof ReplicaStage];
 
-/** One replica, from one start to its end. */
+/** One incarnation of a replica: from its start to its end. */
 export type ReplicaEntry = {
-  /** Names the replica; it may start again under it. */
+  /** Identifies the replica; a restarted replica may keep its id. */
   readonly id: string;
-  /** Tells its starts apart, in the order of their numbers; not a clock. */
+  /** Increases with each start under the same id; not a time. */
   readonly born?: number;
-  /** Names this start of the replica; see {@link incarnationOf}. */
+  /** Identifies this start of the replica; see {@link incarnationOf}. */
   readonly incarnation: string;
   readonly service: string;
   /** `IP:port`. */
   readonly address: string;
   readonly hall: string;
   readonly slots: number;
-  /** It takes no new work. */
+  /** The replica is draining: it accepts no new requests. */
   readonly leaving: boolean;
   readonly stage?: ReplicaStage;
-  /** How much longer it is slow, from its start. */
+  /** Duration of the slow warm-up after its start. */
   readonly coldMs: Milliseconds;
 };
 
 /**
- * Names one start of a replica. What is known of a replica goes by it, so that
- * nothing of an earlier start is taken for the later one's.
+ * Identifies one start of a replica. State of replicas is stored by incarnation,
+ * so that a restarted replica doesn't inherit that of its predecessor.
  */
 export function incarnationOf(id: string, born: number | undefined): string {
   return born === undefined ? id : `${id}@${born}`;
 }
 
-/** All replicas as of one place in the store's history. */
+/** All replicas as of one position in the store's history. */
 export type ReplicaListing = {
   readonly revision: Position;
   readonly entries: readonly ReplicaEntry[];
 };
 
-/** What the store changed in the listing after a place. */
+/** Changes of the store's listing after a position. */
 export type ListingChanges = {
-  /** The place that they follow on. */
+  /** The position that the changes are relative to. */
   readonly since: Position;
   readonly revision: Position;
   readonly changed: readonly ReplicaEntry[];
-  /** Ids that are listed no more. */
+  /** Ids that are no longer listed. */
   readonly gone: readonly string[];
 };
 
-/** What a host lacks of another's listing. */
+/** Changes that bring one host's listing up to date with another's. */
 export type ListingDelta = ListingChanges & {
-  /** -1: `changed` is the whole listing. */
+  /** -1 when `changed` is the full listing. */
   readonly since: Position;
-  /** Replicas listed at `revision`. */
+  /** Number of replicas listed at `revision`. */
   readonly size: number;
 };
--- a/src/gateway/replicas/notice.ts
+++ b/src/gateway/replicas/notice.ts
@@ -1,20 +1,20 @@
-/** What the head of an answer says of the replica that made it. */
+/** What a response's headers report about the replica. */
 import type { Milliseconds } from "../../util/units.ts";
 import type { LimitHeader } from "../limits/model.ts";
 
-/** Whether an answer asks this host to send its replica nothing for a time. */
+/** Whether a response requests a backoff from this host. */
 export type BackoffHeader =
   | { readonly type: "none" }
   | { readonly type: "backoff"; readonly forMs: Milliseconds }
-  /** It names a time that can't be read. */
+  /** The header's duration can't be parsed. */
   | { readonly type: "unreadable"; readonly text: string };
 
-/** What an answer says of its replica, whatever it answers. */
+/** What a response reports about its replica, whatever its status. */
 export type ReplicaNotice = {
-  /** It takes no new work from now on. */
+  /** The replica is draining: it accepts no new requests. */
   readonly leaving: boolean;
-  /** It wants nothing from this host for a time; others may go on. */
+  /** The replica requests a backoff from this host; other hosts may continue. */
   readonly backoff: BackoffHeader;
-  /** It limits the rate of its requests. */
+  /** The rate limit that the replica names. */
   readonly limit: LimitHeader;
 };
--- a/src/gateway/replicas/replica.ts
+++ b/src/gateway/replicas/replica.ts
@@ -1,29 +1,28 @@
-/** What this host knows of one replica beyond its entry. */
+/** This host's local state of one replica. */
 import type { Milliseconds } from "../../util/units.ts";
 import type { ReplicaEntry } from "./model.ts";
 
-/** First pause after a failure; doubles with each further one. */
-const PAUSE_MS = 400;
-const LONGEST_PAUSE_MS = 5000;
+/** The first pause after failures; doubles with each further failure. */
+const INITIAL_PAUSE_MS = 400;
+const MAX_PAUSE_MS = 5000;
 /**
- * After its pause a replica is tried with one call at a time; the next goes
- * when it has succeeded, or after this time. A connection that does not come
- * about is known by then.
+ * After a pause the replica gets one trial call at a time; the next is sent
+ * after a success or this timeout. A failed connection attempt is known by then.
  */
-const TRIAL_MS = 500;
-/** Failures in a row before a replica is passed over. */
+const TRIAL_TIMEOUT_MS = 500;
+/** Consecutive failures after which a replica is paused. */
 const FAILURES_TO_PAUSE = 2;
 
-/** Bounds what is remembered of a replica that takes many requests. */
-const MOST_SENDS = 256;
+/** Maximum number of sends that are remembered of a replica. */
+const MAX_UNCOUNTED_SENDS = 256;
 
-/** One replica with this host's own use of it. */
+/** One replica with the state that this host keeps of it. */
 export class Replica {
   entry: ReplicaEntry;
-  /** Calls of this host that it has not ended. */
+  /** Calls of this host that are in flight. */
   calls = 0;
-  /** Requests sent of late without being counted, the oldest first. */
-  #sends: Milliseconds[] = [];
+  /** Times of recent sends that were counted against no limit, oldest first. */
+  #uncountedSends: Milliseconds[] = [];
   #failures = 0;
   #pausedUntil: Milliseconds = 0;
 
@@ -31,47 +30,49 @@
     this.entry = entry;
   }
 
-  /** Whether it is passed over for its failures. */
+  /** Whether the replica is paused after failures. */
   paused(now: Milliseconds): boolean {
     return now < this.#pausedUntil;
   }
 
-  /** Failures since its last success. */
+  /** Failures since the last success. */
   get failures(): number {
     return this.#failures;
   }
 
-  /** A request is sent to it that nobody counts. */
+  /** Records a send that is counted against no limit. */
   noteSend(now: Milliseconds): void {
-    if (this.#sends.length >= MOST_SENDS) this.#sends.shift();
-    this.#sends.push(now);
+    if (this.#uncountedSends.length >= MAX_UNCOUNTED_SENDS) {
+      this.#uncountedSends.shift();
+    }
+    this.#uncountedSends.push(now);
   }
 
-  /** Forgets and gives the sends that nobody has counted since `oldest`. */
+  /** Removes all uncounted sends; returns those since `oldest`. */
   takeSends(oldest: Milliseconds): Milliseconds[] {
-    const sends = this.#sends.filter((at) => at >= oldest);
-    this.#sends = [];
+    const sends = this.#uncountedSends.filter((at) => at >= oldest);
+    this.#uncountedSends = [];
     return sends;
   }
 
-  /** A call goes to it: after failures, others wait for how it goes. */
+  /** Records a call; after failures it pauses the replica as a trial call. */
   noteTry(now: Milliseconds): void {
     if (this.#failures < FAILURES_TO_PAUSE) return;
-    this.#pausedUntil = Math.max(this.#pausedUntil, now + TRIAL_MS);
+    this.#pausedUntil = Math.max(this.#pausedUntil, now + TRIAL_TIMEOUT_MS);
   }
 
-  /** A call was answered as it should be. */
+  /** Records a successful call. */
   noteSuccess(): void {
     this.#failures = 0;
     this.#pausedUntil = 0;
   }
 
-  /** A call failed or hung; `severe` pauses it at once. */
+  /** Records a failed call; `severe` pauses the replica at once. */
   noteFailure(now: Milliseconds, severe: boolean): void {
     this.#failures += severe ? FAILURES_TO_PAUSE : 1;
     if (this.#failures < FAILURES_TO_PAUSE) return;
     const doublings = Math.min(8, this.#failures - FAILURES_TO_PAUSE);
-    const pause = Math.min(LONGEST_PAUSE_MS, PAUSE_MS * 2 ** doublings);
+    const pause = Math.min(MAX_PAUSE_MS, INITIAL_PAUSE_MS * 2 ** doublings);
     this.#pausedUntil = now + pause;
   }
 }
--- a/src/gateway/replicas/replica_gate.ts
+++ b/src/gateway/replicas/replica_gate.ts
@@ -1,8 +1,7 @@
 /**
- * All that is known of whether this host may send something to a replica, in
- * one place. What replicas say of themselves in answers comes in here, and the
- * one function that sends asks here at the moment of the send: a request may
- * have waited since its replica was chosen.
+ * Decides whether this host may send a request to a replica, from draining,
+ * backoffs and limits. It is fed by the headers of responses, and checked again
+ * right before each send, since a request may wait after its replica was chosen.
  */
 import type { Milliseconds } from "../../util/units.ts";
 import type { Clock } from "../clock.ts";
@@ -15,28 +14,28 @@
 import type { Replica } from "./replica.ts";
 import type { ReplicaTable } from "./replica_table.ts";
 
-/** What is logged of a header that can't be read, in characters. */
-const LONGEST_TEXT = 40;
+/** Maximum number of characters logged of an unreadable header. */
+const MAX_LOGGED_CHARS = 40;
 
-/** What the gate is made from. */
-export type ReplicaGateSource = {
+/** Options of {@link ReplicaGate}. */
+export type ReplicaGateOptions = {
   readonly clock: Clock;
-  /** In [0, 1). */
+  /** Returns numbers in [0, 1). */
   readonly random: () => number;
   readonly events: EventLog;
   readonly replicas: ReplicaTable;
-  readonly leaving: LeavingReplicas;
+  readonly draining: LeavingReplicas;
   readonly limits: ReplicaLimits;
 };
 
-/** Why a replica is sent nothing by this host now. */
+/** Why this host may not send to a replica now. */
 export type Obstacle =
-  /** It leaves, or is gone from the listing. */
+  /** The replica is draining or no longer listed. */
   | { readonly type: "leaving" }
-  /** It asked for nothing from this host; so much of the time is left. */
+  /** The replica requested a backoff, which ends after `leftMs`. */
   | { readonly type: "backoff"; readonly leftMs: Milliseconds };
 
-/** Leave to send one request to a replica, or why there is none. */
+/** A permit to send one request to a replica, or why there is none. */
 export type GateOutcome =
   | PermitOutcome
   | { readonly type: "closed"; readonly obstacle: Obstacle };
@@ -45,152 +44,152 @@
 export type Availability =
   | {
     readonly type: "some";
-    /** Incarnations not to be chosen: those given, and what backs off. */
+    /** Incarnations that must not be chosen: those given, and unavailable ones. */
     readonly excluded: ReadonlySet<string>;
-    /** One that is left out may be used after this time; Infinity: none. */
+    /** Time until the first excluded one may be used; Infinity if none will be. */
     readonly nextMs: Milliseconds;
   }
-  /** All that are left asked for a pause. */
+  /** No replica is usable, and the first backoff ends after this time. */
   | { readonly type: "none"; readonly retryAfterMs: Milliseconds };
 
-/** What a request needs of replicas. */
-export type ReplicaNeed = {
+/** Which replicas a request can use. */
+export type ReplicaRequirements = {
   readonly service: string;
-  /** The stage that answers it; absent at a plain service. */
+  /** The stage that answers the request; absent for plain services. */
   readonly stage?: ReplicaStage | undefined;
-  /** Incarnations that are not to be tried again. */
+  /** Incarnations that must not be tried again. */
   readonly excluded: ReadonlySet<string>;
 };
 
-/** An answer, by what it answers. */
+/** The call to which a response belongs. */
 export type AnsweredCall = {
   readonly sentAt: Milliseconds;
-  /** The request that it answers; absent for calls of the host's own. */
+  /** The id of the request; absent for the host's own calls. */
   readonly request?: string | undefined;
 };
 
-/** What may be sent to replicas. */
+/** Decides whether requests may be sent to replicas. */
 export class ReplicaGate {
-  readonly #source: ReplicaGateSource;
+  readonly #options: ReplicaGateOptions;
   readonly #backoffs: Backoffs;
 
-  constructor(source: ReplicaGateSource) {
-    this.#source = source;
-    this.#backoffs = new Backoffs(source.random);
+  constructor(options: ReplicaGateOptions) {
+    this.#options = options;
+    this.#backoffs = new Backoffs(options.random);
   }
 
-  /** Replicas that this host leaves alone for a time. */
+  /** Number of replicas whose backoff is in force. */
   get backingOff(): number {
-    return this.#backoffs.count(this.#source.clock.now());
+    return this.#backoffs.count(this.#options.clock.now());
   }
 
-  /** Why nothing may be sent to the replica now; undefined: it may. */
+  /** Returns why nothing may be sent to the replica now, if so. */
   obstacle(replica: Replica): Obstacle | undefined {
-    const { replicas, clock } = this.#source;
-    if (!replicas.open(replica)) return { type: "leaving" };
+    const { replicas, clock } = this.#options;
+    if (!replicas.isOpen(replica)) return { type: "leaving" };
     const { incarnation } = replica.entry;
     const leftMs = this.#backoffs.leftMs(incarnation, clock.now());
     return leftMs > 0 ? { type: "backoff", leftMs } : undefined;
   }
 
-  /** Leave to send one request to the replica now. */
+  /** Requests a permit to send one request to the replica now. */
   async permit(replica: Replica): Promise<GateOutcome> {
     const obstacle = this.obstacle(replica);
     if (obstacle) return { type: "closed", obstacle };
-    return await this.#source.limits.permit(replica);
+    return await this.#options.limits.permit(replica);
   }
 
-  /** Which replicas of a service this host may use for a request now. */
-  available({ service, stage, excluded }: ReplicaNeed): Availability {
+  /** Returns which replicas of a service this host may use for a request now. */
+  available({ service, stage, excluded }: ReplicaRequirements): Availability {
     if (this.#backoffs.size === 0) {
       return { type: "some", excluded, nextMs: Infinity };
     }
-    const open = this.#source.replicas.openOf(service);
-    const answering = open.filter((one) => one.entry.stage === stage);
+    const open = this.#options.replicas.openOf(service);
+    const answering = open.filter((replica) => replica.entry.stage === stage);
     const closed = new Set(excluded);
-    for (const one of open) {
-      if (this.obstacle(one)) closed.add(one.entry.incarnation);
+    for (const replica of open) {
+      if (this.obstacle(replica)) closed.add(replica.entry.incarnation);
     }
-    const nextMs = this.#nextMs(answering);
+    const nextMs = this.#minBackoffLeftMs(answering);
     const isUsable = ({ entry }: Replica) => !closed.has(entry.incarnation);
     if (!answering.some(isUsable) && Number.isFinite(nextMs)) {
       return { type: "none", retryAfterMs: nextMs };
     }
-    const trialMs = this.#leaveOutTried(open, closed);
-    const soonestMs = Math.min(nextMs, trialMs);
-    return { type: "some", excluded: closed, nextMs: soonestMs };
+    const trialMs = this.#excludeOnTrial(open, closed);
+    const minLeftMs = Math.min(nextMs, trialMs);
+    return { type: "some", excluded: closed, nextMs: minLeftMs };
   }
 
-  /** Time until one of the replicas that asked for a pause may be used. */
-  #nextMs(replicas: readonly Replica[]): Milliseconds {
-    const lefts = replicas.map((one) => {
-      const obstacle = this.obstacle(one);
+  /** Time until the first backoff of the replicas ends. */
+  #minBackoffLeftMs(replicas: readonly Replica[]): Milliseconds {
+    const times = replicas.map((replica) => {
+      const obstacle = this.obstacle(replica);
       return obstacle?.type === "backoff" ? obstacle.leftMs : Infinity;
     });
-    return Math.min(Infinity, ...lefts);
+    return Math.min(Infinity, ...times);
   }
 
   /**
-   * A replica that is tried is left out where another of its stage is not.
-   * Gives the time until the first of these trials is over.
+   * Excludes replicas with a trial request in flight where the stage has other
+   * usable replicas. Returns the time until the first of these trials ends.
    */
-  #leaveOutTried(
+  #excludeOnTrial(
     open: readonly Replica[],
     closed: Set<string>,
   ): Milliseconds {
-    const now = this.#source.clock.now();
-    const trialMs = ({ entry }: Replica) =>
-      this.#backoffs.trialMs(entry.incarnation, now);
+    const now = this.#options.clock.now();
+    const leftMsOf = ({ entry }: Replica) =>
+      this.#backoffs.trialLeftMs(entry.incarnation, now);
     const usable = open.filter(({ entry }) => !closed.has(entry.incarnation));
-    const sound = usable.filter((one) => trialMs(one) === 0);
-    let soonestMs = Infinity;
-    for (const one of usable.filter((other) => trialMs(other) > 0)) {
-      const { stage, incarnation } = one.entry;
-      if (!sound.some((other) => other.entry.stage === stage)) continue;
+    const healthy = usable.filter((replica) => leftMsOf(replica) === 0);
+    let minLeftMs = Infinity;
+    for (const replica of usable.filter((other) => leftMsOf(other) > 0)) {
+      const { stage, incarnation } = replica.entry;
+      if (!healthy.some((other) => other.entry.stage === stage)) continue;
       closed.add(incarnation);
-      soonestMs = Math.min(soonestMs, trialMs(one));
+      minLeftMs = Math.min(minLeftMs, leftMsOf(replica));
     }
-    return soonestMs;
+    return minLeftMs;
   }
 
-  /** A request goes to the replica. */
+  /** Records that a request is sent to the replica. */
   noteSend({ incarnation }: ReplicaEntry): void {
-    this.#backoffs.noteSend(incarnation, this.#source.clock.now());
+    this.#backoffs.noteSend(incarnation, this.#options.clock.now());
   }
 
-  /** The replica answered a request. */
+  /** Handles the headers of a response to a request. */
   hear(
     incarnation: string,
     notice: ReplicaNotice,
     answered: AnsweredCall,
   ): void {
-    const { limits } = this.#source;
+    const { limits } = this.#options;
     const { sentAt } = answered;
     limits.hear(incarnation, notice.limit, sentAt);
-    const isTaken = notice.backoff.type === "none";
-    if (isTaken) this.#backoffs.noteTaken(incarnation, sentAt);
+    const isAccepted = notice.backoff.type === "none";
+    if (isAccepted) this.#backoffs.noteAccepted(incarnation, sentAt);
     this.hearCall(incarnation, notice, answered);
   }
 
   /**
-   * The replica answered a call of the host's own, which no limit counts, or
-   * gave an answer that belongs to no request that is known.
+   * Handles the headers of a response that counts against no limit: to one of
+   * the host's own calls, or to no known request.
    */
   hearCall(
     incarnation: string,
     { leaving, backoff }: Omit<ReplicaNotice, "limit">,
     { request }: AnsweredCall,
   ): void {
-    const { clock, events } = this.#source;
+    const { clock, events } = this.#options;
     const replica = incarnation;
-    if (leaving) this.#source.leaving.heard(incarnation, request);
+    if (leaving) this.#options.draining.observe(incarnation, request);
     if (backoff.type === "unreadable") {
-      const text = backoff.text.slice(0, LONGEST_TEXT);
+      const text = backoff.text.slice(0, MAX_LOGGED_CHARS);
       events.note("backoffUnreadable", { replica, request, text });
     }
     if (backoff.type !== "backoff") return;
     const { forMs } = backoff;
-    if (!this.#backoffs.ask(incarnation, forMs, clock.now())) return;
+    if (!this.#backoffs.start(incarnation, forMs, clock.now())) return;
     events.note("backoffAsked", { replica, request, for_ms: forMs });
   }
 }
--- a/src/gateway/replicas/replica_table.ts
+++ b/src/gateway/replicas/replica_table.ts
@@ -1,4 +1,4 @@
-/** The replicas that this host knows; listings never go back. */
+/** The table of replicas; older listings never replace newer ones. */
 import { forgetOldest } from "../../util/forget_oldest.ts";
 import { eraOf, type Position } from "../position.ts";
 import { ListingHistory } from "./listing_history.ts";
@@ -10,30 +10,30 @@
 } from "./model.ts";
 import { Replica } from "./replica.ts";
 
-/** Replicas that have left, or are gone, are remembered up to this number. */
-const MOST_LEFT = 10_000;
-/** Those that left last are told to others also when they are listed no more. */
-const MOST_UNLISTED = 200;
+/** Maximum number of draining, and of removed, incarnations remembered. */
+const MAX_REMEMBERED = 10_000;
+/** Maximum number of draining incarnations reported although not listed. */
+const MAX_UNLISTED_DRAINING = 200;
 
-/** What may be wrong with a listing of a store that has just come back. */
-export type ListingDoubt = {
-  /** It may lack live replicas: those that aren't leaving are kept. */
+/** How a listing is adopted of a store that has just recovered. */
+export type AdoptOptions = {
+  /** Keep missing replicas that aren't draining: the listing may lack live ones. */
   readonly keepMissing?: boolean;
   /**
-   * It may be of an older copy: what went in an earlier era is left out. A
-   * replica whose entry went serves on for a while, and is to get no new work.
+   * Exclude replicas that were removed in an earlier era, since the store may
+   * have been restored from a backup. They must not get new requests.
    */
   readonly leaveOutGone?: boolean;
 };
 
-/** What a listing changed. */
+/** What a listing changed in the table. */
 export type ListingChange = {
   readonly added: readonly ReplicaEntry[];
   readonly removed: readonly ReplicaEntry[];
   readonly leaving: readonly ReplicaEntry[];
-  /** Not listed, but kept: the store may only have lost their entries. */
+  /** Not listed, but kept, since the store may have lost their entries. */
   readonly kept: readonly ReplicaEntry[];
-  /** Ids of replicas that are new, started again, or whose entry is another. */
+  /** Ids of replicas that are new, restarted, or whose entry has changed. */
   readonly renewed: readonly string[];
 };
 
@@ -45,144 +45,145 @@
   renewed: [],
 };
 
-/** Replicas by incarnation and by service. */
+/** Replicas, indexed by incarnation and by service. */
 export class ReplicaTable {
   #revision: Position = -1;
   #byIncarnation = new Map<string, Replica>();
   #byService = new Map<string, Replica[]>();
   readonly #history = new ListingHistory();
-  /** Incarnations that were leaving: they stay so, whatever comes later. */
-  readonly #left = new Set<string>();
-  /** Incarnations that were listed once, and where they no longer were. */
-  readonly #goneAt = new Map<string, Position>();
-  /** The table has replicas that the listing lacks, or the other way round. */
-  #isDoubtful = false;
+  /** Incarnations that were reported as draining; later listings don't undo it. */
+  readonly #draining = new Set<string>();
+  /** Incarnations that are no longer listed, with the position of the removal. */
+  readonly #removedAt = new Map<string, Position>();
+  /** Whether replicas were kept that the listing lacks, or listed ones excluded. */
+  #differsFromListing = false;
 
-  /** The place of the newest listing; -1 before the first. */
+  /** Position of the newest listing; -1 before the first. */
   get revision(): Position {
     return this.#revision;
   }
 
   /**
-   * The place from which changes lead on; -1: only a whole listing does, since
-   * this table is not what the listing at its place says.
+   * The position from which deltas can be applied; -1 when a full listing is
+   * needed, since the table differs from the listing at its position.
    */
   get base(): Position {
-    return this.#isDoubtful ? -1 : this.#revision;
+    return this.#differsFromListing ? -1 : this.#revision;
   }
 
-  /** Number of replicas listed. */
+  /** Number of replicas in the table. */
   get size(): number {
     return this.#byIncarnation.size;
   }
 
-  /** Entries as last listed. */
+  /** The entries of all replicas in the table. */
   entries(): ReplicaEntry[] {
-    return [...this.#byIncarnation.values()].map((one) => one.entry);
+    return [...this.#byIncarnation.values()].map((replica) => replica.entry);
   }
 
-  /** Takes a listing unless a newer one was taken. */
+  /** Adopts a full listing; returns undefined if it is older than the table. */
   adopt(
     listing: ReplicaListing,
-    { keepMissing = false, leaveOutGone = false }: ListingDoubt = {},
+    { keepMissing = false, leaveOutGone = false }: AdoptOptions = {},
   ): ListingChange | undefined {
     if (listing.revision < this.#revision) return undefined;
     this.#revision = listing.revision;
     const before = this.#byIncarnation;
-    const listed = this.#newestStarts(listing.entries)
-      .map((one) => this.#stillLeaving(one));
+    const listed = this.#withoutOlderStarts(listing.entries)
+      .map((entry) => this.#withDraining(entry));
     const entries = leaveOutGone
-      ? listed.filter((one) => !this.#wentEarlier(one))
+      ? listed.filter((entry) => !this.#wasRemovedInEarlierEra(entry))
       : listed;
-    const change = compare(before, entries, keepMissing);
-    this.#isDoubtful = change.kept.length > 0 ||
+    const change = diffListing(before, entries, keepMissing);
+    this.#differsFromListing = change.kept.length > 0 ||
       entries.length < listed.length;
-    this.#noteGone(change);
+    this.#noteRemoved(change);
     this.#byIncarnation = new Map();
     for (const entry of [...entries, ...change.kept]) {
       const known = before.get(entry.incarnation);
-      this.#byIncarnation.set(entry.incarnation, renewed(known, entry));
+      this.#byIncarnation.set(entry.incarnation, createOrUpdate(known, entry));
     }
     this.#byService = groupByService(this.#byIncarnation.values());
-    const ids = new Set(this.entries().map((one) => one.id));
+    const ids = new Set(this.entries().map((entry) => entry.id));
     this.#history.record(listing.revision, this.entries(), {
       changed: change.renewed,
-      gone: change.removed.map((one) => one.id).filter((id) => !ids.has(id)),
+      removed: change.removed.map((entry) => entry.id).filter((id) =>
+        !ids.has(id)
+      ),
     });
     return change;
   }
 
-  /** What a host lacks that has the listing as of `revision`. */
+  /** Returns the changes since `revision`; see {@link ListingHistory}. */
   after(revision: number): ListingDelta | undefined {
-    return this.#history.after(revision);
+    return this.#history.deltaSince(revision);
   }
 
   /**
-   * Takes what changed since a revision that this table has reached. "older":
-   * this table is ahead; "gap": it does not lead to the other's listing.
+   * Applies a delta of another host. Returns "older" if this table is newer, and
+   * "gap" if the delta doesn't lead to the other host's listing.
    */
   follow(delta: ListingDelta): ListingChange | "older" | "gap" {
     if (delta.revision < this.#revision) return "older";
     if (delta.since > this.base) return "gap";
-    if (this.#changesNothing(delta)) return this.#moveTo(delta.revision);
+    if (this.#isEmptyDelta(delta)) return this.#advanceTo(delta.revision);
     const entries = this.#entriesAfter(delta);
     if (entries.length !== delta.size) return "gap";
     return this.adopt({ revision: delta.revision, entries }) ?? "older";
   }
 
-  /** Takes what the store changed since a revision that was reached here. */
+  /** Applies changes of the store; returns undefined if they are older. */
   change(changes: ListingChanges): ListingChange | undefined {
     const { revision, changed, gone } = changes;
     if (revision < this.#revision) return undefined;
-    const isSame = changed.length === 0 && gone.length === 0;
-    if (isSame) return this.#moveTo(revision);
+    const isEmpty = changed.length === 0 && gone.length === 0;
+    if (isEmpty) return this.#advanceTo(revision);
     return this.adopt({ revision, entries: this.#entriesAfter(changes) });
   }
 
   /**
-   * Each write to the store makes a new revision, most of them heartbeats: of a
-   * delta without changes only the revision counts, which spares a host making
-   * and comparing lists of all replicas.
+   * Whether a delta only advances the revision. Most writes to the store are
+   * heartbeats, so this avoids comparing the full listing for each of them.
    */
-  #changesNothing(delta: ListingDelta): boolean {
+  #isEmptyDelta(delta: ListingDelta): boolean {
     const { since, changed, gone, size } = delta;
     if (since < 0 || changed.length > 0 || gone.length > 0) return false;
     return size === this.#byIncarnation.size;
   }
 
-  #moveTo(revision: number): ListingChange {
+  #advanceTo(revision: number): ListingChange {
     this.#revision = revision;
-    this.#history.move(revision);
+    this.#history.advance(revision);
     return NO_CHANGE;
   }
 
   #entriesAfter({ since, changed, gone }: ListingChanges): ReplicaEntry[] {
     const entries = new Map<string, ReplicaEntry>();
     if (since >= 0) {
-      for (const one of this.entries()) entries.set(one.id, one);
+      for (const entry of this.entries()) entries.set(entry.id, entry);
     }
     for (const id of gone) entries.delete(id);
-    for (const one of changed) entries.set(one.id, one);
+    for (const entry of changed) entries.set(entry.id, entry);
     return [...entries.values()];
   }
 
-  /** It went in an earlier era than the one of this listing. */
-  #wentEarlier({ incarnation }: ReplicaEntry): boolean {
-    const goneAt = this.#goneAt.get(incarnation);
-    return goneAt !== undefined && eraOf(goneAt) < eraOf(this.#revision);
+  /** Whether the entry was removed in an earlier era than that of the listing. */
+  #wasRemovedInEarlierEra({ incarnation }: ReplicaEntry): boolean {
+    const removedAt = this.#removedAt.get(incarnation);
+    return removedAt !== undefined && eraOf(removedAt) < eraOf(this.#revision);
   }
 
-  #noteGone({ added, removed }: ListingChange): void {
-    for (const { incarnation } of added) this.#goneAt.delete(incarnation);
+  #noteRemoved({ added, removed }: ListingChange): void {
+    for (const { incarnation } of added) this.#removedAt.delete(incarnation);
     for (const { incarnation } of removed) {
-      this.#goneAt.set(incarnation, this.#revision);
-      forgetOldest(this.#goneAt, MOST_LEFT);
+      this.#removedAt.set(incarnation, this.#revision);
+      forgetOldest(this.#removedAt, MAX_REMEMBERED);
     }
   }
 
-  /** What comes late of an earlier start doesn't undo a later one. */
-  #newestStarts(entries: readonly ReplicaEntry[]): ReplicaEntry[] {
-    const known = new Map(this.entries().map((one) => [one.id, one]));
+  /** Replaces entries of earlier starts by the known ones of later starts. */
+  #withoutOlderStarts(entries: readonly ReplicaEntry[]): ReplicaEntry[] {
+    const known = new Map(this.entries().map((entry) => [entry.id, entry]));
     return entries.map((entry) => {
       const before = known.get(entry.id);
       const isOlder = (entry.born ?? 0) < (before?.born ?? 0);
@@ -190,91 +191,98 @@
     });
   }
 
-  #stillLeaving(entry: ReplicaEntry): ReplicaEntry {
+  #withDraining(entry: ReplicaEntry): ReplicaEntry {
     const { incarnation, leaving } = entry;
-    if (leaving) this.#left.add(incarnation);
-    forgetOldest(this.#left, MOST_LEFT);
-    const known = leaving || !this.#left.has(incarnation);
-    return known ? entry : { ...entry, leaving: true };
+    if (leaving) this.#draining.add(incarnation);
+    forgetOldest(this.#draining, MAX_REMEMBERED);
+    const isUnchanged = leaving || !this.#draining.has(incarnation);
+    return isUnchanged ? entry : { ...entry, leaving: true };
   }
 
   /**
-   * Replicas leave, as others know; gives those that this table did
-   * not know of. It holds whatever this table's listing is worth, and leaves the
-   * listing as it is: what the store says of it comes as any other change.
+   * Records draining replicas; returns those not recorded before. The entries
+   * change when the next listing is adopted.
    */
-  noteLeaving(incarnations: readonly string[]): string[] {
-    const news = incarnations.filter((one) => !this.#left.has(one));
-    for (const one of news) this.#left.add(one);
-    forgetOldest(this.#left, MOST_LEFT);
-    return news;
+  noteDraining(incarnations: readonly string[]): string[] {
+    const added = incarnations.filter((incarnation) =>
+      !this.#draining.has(incarnation)
+    );
+    for (const incarnation of added) this.#draining.add(incarnation);
+    forgetOldest(this.#draining, MAX_REMEMBERED);
+    return added;
   }
 
   /**
-   * Replicas that leave, also such as went lately, since an older listing may
-   * bring them back elsewhere.
+   * Draining incarnations to report to other hosts. It includes recent ones that
+   * are no longer listed, since another host may adopt an older listing.
    */
-  leaving(): string[] {
-    const left = [...this.#left];
-    const lately = new Set(left.slice(-MOST_UNLISTED));
-    return left.filter((one) =>
-      lately.has(one) || this.#byIncarnation.has(one)
+  draining(): string[] {
+    const draining = [...this.#draining];
+    const recent = new Set(draining.slice(-MAX_UNLISTED_DRAINING));
+    return draining.filter((incarnation) =>
+      recent.has(incarnation) || this.#byIncarnation.has(incarnation)
     );
   }
 
-  /** The replica of that incarnation, while it is listed. */
+  /** The replica with the given incarnation, while it is in the table. */
   get(incarnation: string): Replica | undefined {
     return this.#byIncarnation.get(incarnation);
   }
 
-  /** Whether new work may go to the replica. */
-  open(replica: Replica): boolean {
+  /** Whether the replica accepts new requests. */
+  isOpen(replica: Replica): boolean {
     const { incarnation } = replica.entry;
-    const known = this.#byIncarnation.get(incarnation) === replica;
-    return known && !this.isLeaving(replica.entry);
+    const isListed = this.#byIncarnation.get(incarnation) === replica;
+    return isListed && !this.isLeaving(replica.entry);
   }
 
-  /** Replicas of a service that may take new work. */
+  /** Replicas of a service that accept new requests. */
   openOf(service: string): Replica[] {
     const all = this.#byService.get(service) ?? [];
-    return all.filter((one) => !this.isLeaving(one.entry));
+    return all.filter((replica) => !this.isLeaving(replica.entry));
   }
 
-  /** Whether the replica leaves, as anybody has said. */
+  /** Whether the replica is draining, by its entry or any other report. */
   isLeaving({ incarnation, leaving }: ReplicaEntry): boolean {
-    return leaving || this.#left.has(incarnation);
+    return leaving || this.#draining.has(incarnation);
   }
 }
 
-function compare(
+function diffListing(
   before: ReadonlyMap<string, Replica>,
   entries: readonly ReplicaEntry[],
   keepMissing: boolean,
 ): ListingChange {
-  const listed = new Set(entries.map((one) => one.incarnation));
-  const ids = new Set(entries.map((one) => one.id));
-  const knownOf = (one: ReplicaEntry) => before.get(one.incarnation)?.entry;
-  const missing = [...before.values()].map((one) => one.entry)
-    .filter((one) => !listed.has(one.incarnation));
-  const isKept = (one: ReplicaEntry) =>
-    keepMissing && !one.leaving && !ids.has(one.id);
+  const listed = new Set(entries.map((entry) => entry.incarnation));
+  const ids = new Set(entries.map((entry) => entry.id));
+  const knownOf = (entry: ReplicaEntry) => before.get(entry.incarnation)?.entry;
+  const missing = [...before.values()].map((replica) => replica.entry)
+    .filter((entry) => !listed.has(entry.incarnation));
+  const isKept = (entry: ReplicaEntry) =>
+    keepMissing && !entry.leaving && !ids.has(entry.id);
   return {
-    added: entries.filter((one) => !knownOf(one)),
-    leaving: entries.filter((one) =>
-      one.leaving && knownOf(one)?.leaving === false
+    added: entries.filter((entry) => !knownOf(entry)),
+    leaving: entries.filter((entry) =>
+      entry.leaving && knownOf(entry)?.leaving === false
     ),
-    removed: missing.filter((one) => !isKept(one)),
+    removed: missing.filter((entry) => !isKept(entry)),
     kept: missing.filter(isKept),
-    renewed: entries.filter((one) => !isSame(one, knownOf(one)))
-      .map((one) => one.id),
+    renewed: entries.filter((entry) => !isSameEntry(entry, knownOf(entry)))
+      .map((entry) => entry.id),
   };
 }
 
-function isSame(one: ReplicaEntry, other: ReplicaEntry | undefined): boolean {
-  return other !== undefined && JSON.stringify(one) === JSON.stringify(other);
+function isSameEntry(
+  entry: ReplicaEntry,
+  other: ReplicaEntry | undefined,
+): boolean {
+  return other !== undefined && JSON.stringify(entry) === JSON.stringify(other);
 }
 
-function renewed(known: Replica | undefined, entry: ReplicaEntry): Replica {
+function createOrUpdate(
+  known: Replica | undefined,
+  entry: ReplicaEntry,
+): Replica {
   if (!known) return new Replica(entry);
   known.entry = entry;
   return known;
@@ -282,10 +290,10 @@
 
 function groupByService(replicas: Iterable<Replica>): Map<string, Replica[]> {
   const groups = new Map<string, Replica[]>();
-  for (const one of replicas) {
-    const group = groups.get(one.entry.service);
-    if (group) group.push(one);
-    else groups.set(one.entry.service, [one]);
+  for (const replica of replicas) {
+    const group = groups.get(replica.entry.service);
+    if (group) group.push(replica);
+    else groups.set(replica.entry.service, [replica]);
   }
   return groups;
 }
--- a/src/gateway/replicas/schema.ts
+++ b/src/gateway/replicas/schema.ts
@@ -1,9 +1,9 @@
-/** A replica's entry where hosts tell each other of it. */
+/** Encoding of replica entries in messages between hosts. */
 import * as z from "zod";
 import { incarnationOf, type ReplicaEntry, ReplicaStage } from "./model.ts";
 
 const EntryMessage = z.object({
-  /** The replica's id: hosts that know of no restarts under it read it so. */
+  /** The id: hosts without support for restarts expect it under this key. */
   incarnation: z.string(),
   born: z.number().exactOptional(),
   service: z.string(),
@@ -14,10 +14,10 @@
   stage: z.enum(ReplicaStage).exactOptional(),
   coldMs: z.number(),
 });
-/** A replica's entry as hosts tell it. */
+/** A replica's entry on the wire. */
 export type EntryMessage = z.output<typeof EntryMessage>;
 
-/** Reads a {@link ReplicaEntry}. */
+/** Decodes a {@link ReplicaEntry}. */
 export const ReplicaEntrySchema = EntryMessage.transform(decodeEntry);
 
 function decodeEntry(
@@ -26,7 +26,7 @@
   return { ...entry, id, incarnation: incarnationOf(id, entry.born) };
 }
 
-/** An entry as other hosts read it. */
+/** Encodes an entry for other hosts. */
 export function encodeEntry({ id, ...entry }: ReplicaEntry): EntryMessage {
   return { ...entry, incarnation: id };
 }
--- a/test/gateway/replicas/leaving_fleet_test.ts
+++ b/test/gateway/replicas/leaving_fleet_test.ts
@@ -1,6 +1,6 @@
 /**
- * That a replica leaves, as one host heard in an answer, is known to all hosts
- * at once and undone by nothing, in virtual time.
+ * A replica that one host observed to be draining gets no requests from any
+ * host, whatever later listings say. Runs in virtual time.
  */
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -8,9 +8,9 @@
 import { type FleetHost, StateFleet } from "../state/state_fleet.ts";
 
 const FORMED_MS = 8000;
-/** News goes over a tree of links that is two ways deep. */
-const TOLD_MS = 300;
-/** A host that was cut off links anew, or reads the store itself, by then. */
+/** Maximum time for an update to reach all hosts over the tree of links. */
+const PROPAGATED_MS = 300;
+/** Time within which a disconnected host links again or reads the store. */
 const RELINKED_MS = 3000;
 const NOTICE = {
   leaving: true,
@@ -18,11 +18,11 @@
   limit: { type: "none" },
 } as const;
 
-const openAt = ({ context: { replicas } }: FleetHost) =>
+const openReplicasAt = ({ context: { replicas } }: FleetHost) =>
   replicas.openOf("s").map(({ entry }) => entry.incarnation).sort().join();
 
-/** A formed fleet before replicas "a" and "b", the store away. */
-async function formed(size: number, seed: number): Promise<StateFleet> {
+/** A formed fleet with replicas "a" and "b", after the store became unreachable. */
+async function formedFleet(size: number, seed: number): Promise<StateFleet> {
   const fleet = new StateFleet(size, seed);
   for (const id of ["a", "b"]) fleet.store.list(replicaEntry(id));
   await fleet.runTo(FORMED_MS + seed * 97);
@@ -31,59 +31,59 @@
   return fleet;
 }
 
-function hear(host: FleetHost | undefined): void {
+function observeLeaving(host: FleetHost | undefined): void {
   host?.context.gate.hear("a", NOTICE, { sentAt: 0, request: "r" });
 }
 
 for (const size of [3, 9, 88]) {
-  test(`one host's answer closes a replica at ${size} hosts, without the store`, async () => {
+  test(`a response at one host stops requests to a draining replica at ${size} hosts, without the store`, async () => {
     for (let seed = 0; seed < (size > 9 ? 2 : 8); seed++) {
-      const fleet = await formed(size, seed);
-      hear(fleet.hosts[seed % size]);
-      await fleet.runTo(fleet.now + TOLD_MS);
-      for (const host of fleet.hosts) assert.equal(openAt(host), "b");
+      const fleet = await formedFleet(size, seed);
+      observeLeaving(fleet.hosts[seed % size]);
+      await fleet.runTo(fleet.now + PROPAGATED_MS);
+      for (const host of fleet.hosts) assert.equal(openReplicasAt(host), "b");
     }
   });
 }
 
-test("rows and listings that still call it ready undo nothing", async () => {
-  const fleet = await formed(9, 1);
+test("rows and listings that still report a draining replica as ready change nothing", async () => {
+  const fleet = await formedFleet(9, 1);
   const { store, hosts } = fleet;
-  hear(hosts[4]);
-  await fleet.runTo(fleet.now + TOLD_MS);
+  observeLeaving(hosts[4]);
+  await fleet.runTo(fleet.now + PROPAGATED_MS);
   for (const { entry } of hosts) store.treat(entry.id, "served");
   store.list({ ...replicaEntry("a"), coldMs: 1 });
   await fleet.runTo(fleet.now + RELINKED_MS);
-  for (const host of hosts) assert.equal(openAt(host), "b");
-  // Its entry goes, and comes back.
+  for (const host of hosts) assert.equal(openReplicasAt(host), "b");
+  // The entry is removed, then listed again.
   store.unlist("a");
   await fleet.runTo(fleet.now + RELINKED_MS);
   store.list(replicaEntry("a"));
   const added = fleet.add();
   await fleet.runTo(fleet.now + RELINKED_MS);
-  for (const host of [...hosts, added]) assert.equal(openAt(host), "b");
+  for (const host of [...hosts, added]) assert.equal(openReplicasAt(host), "b");
 });
 
-test("hosts that were cut off hear of it when they link anew", async () => {
-  const fleet = await formed(9, 2);
+test("hosts that were cut off learn of a draining replica when they link again", async () => {
+  const fleet = await formedFleet(9, 2);
   const { hosts } = fleet;
-  const isOut = (host: FleetHost) => host.entry.hall === "hall-1";
-  fleet.cut((one, other) => isOut(one) !== isOut(other));
+  const isCutOff = (host: FleetHost) => host.entry.hall === "hall-1";
+  fleet.cut((from, to) => isCutOff(from) !== isCutOff(to));
   await fleet.runTo(fleet.now + 2000);
-  hear(hosts.find((host) => !isOut(host)));
-  await fleet.runTo(fleet.now + TOLD_MS);
+  observeLeaving(hosts.find((host) => !isCutOff(host)));
+  await fleet.runTo(fleet.now + PROPAGATED_MS);
   fleet.cut(() => false);
   await fleet.runTo(fleet.now + RELINKED_MS);
-  for (const host of hosts) assert.equal(openAt(host), "b");
+  for (const host of hosts) assert.equal(openReplicasAt(host), "b");
 });
 
-test("another start of it is used", async () => {
-  const fleet = await formed(9, 3);
+test("a restarted replica is used although its predecessor was draining", async () => {
+  const fleet = await formedFleet(9, 3);
   const { store, hosts } = fleet;
-  hear(hosts[0]);
-  await fleet.runTo(fleet.now + TOLD_MS);
+  observeLeaving(hosts[0]);
+  await fleet.runTo(fleet.now + PROPAGATED_MS);
   for (const { entry } of hosts) store.treat(entry.id, "served");
   store.list({ ...replicaEntry("a"), born: 2, incarnation: "a@2" });
   await fleet.runTo(fleet.now + RELINKED_MS);
-  for (const host of hosts) assert.equal(openAt(host), "a@2,b");
+  for (const host of hosts) assert.equal(openReplicasAt(host), "a@2,b");
 });
--- a/test/gateway/replicas/listing_history_test.ts
+++ b/test/gateway/replicas/listing_history_test.ts
@@ -1,4 +1,4 @@
-/** Deltas of listings: a follower ends where the reader is, or knows a gap. */
+/** Deltas of listings: a follower reaches the reader's state or detects a gap. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import fc from "fast-check";
@@ -13,52 +13,58 @@
 
 const listing = fc.uniqueArray(
   fc.record({ id: fc.constantFrom(..."abcdef"), leaving: fc.boolean() }),
-  { selector: (one) => one.id },
+  { selector: (replica) => replica.id },
 );
 
-/** What a table believes, in an order of its own. */
-function beliefs(table: ReplicaTable): ReplicaEntry[] {
+/** The entries of a table, sorted by incarnation. */
+function sortedEntries(table: ReplicaTable): ReplicaEntry[] {
   return table.entries().sort((a, b) => a.incarnation < b.incarnation ? -1 : 1);
 }
 
-test("a follower that takes deltas believes what its reader believes", () => {
-  const step = fc.record({ listing, told: fc.boolean(), read: fc.boolean() });
+test("a follower that applies deltas has the same entries as its reader", () => {
+  const step = fc.record({
+    listing,
+    sent: fc.boolean(),
+    read: fc.boolean(),
+  });
   fc.assert(fc.property(fc.array(step), (steps) => {
     const reader = new ReplicaTable();
     const follower = new ReplicaTable();
-    const left = new Set<string>();
+    const draining = new Set<string>();
     let revision = 0;
-    for (const { listing, told, read } of steps) {
+    for (const { listing, sent, read } of steps) {
       revision += 2;
-      // In the store, a replica that is leaving does not come back.
-      for (const one of listing) if (one.leaving) left.add(one.id);
-      const entries = listing.map(({ id }) => entry(id, left.has(id)));
+      // In the store, a draining replica stays draining.
+      for (const replica of listing) {
+        if (replica.leaving) draining.add(replica.id);
+      }
+      const entries = listing.map(({ id }) => entry(id, draining.has(id)));
       reader.adopt({ revision, entries });
       // The follower may have read the store itself in between.
       if (read) follower.adopt({ revision, entries });
-      if (!told) continue;
+      if (!sent) continue;
       const delta = reader.after(follower.revision);
       if (delta) assert.notEqual(follower.follow(delta), "gap");
-      assert.deepEqual(beliefs(follower), beliefs(reader));
+      assert.deepEqual(sortedEntries(follower), sortedEntries(reader));
     }
   }));
 });
 
-test("a delta that follows on a later revision is a gap", () => {
+test("a delta relative to a later revision is a gap", () => {
   const table = new ReplicaTable();
   table.adopt({ revision: 3, entries: [] });
   const delta = { since: 5, revision: 7, changed: [], gone: [], size: 0 };
   assert.equal(table.follow(delta), "gap");
 });
 
-test("a delta that leads to another number of replicas is a gap", () => {
+test("a delta that leads to a different number of replicas is a gap", () => {
   const table = new ReplicaTable();
   table.adopt({ revision: 3, entries: [entry("a", false)] });
   const delta = { since: 3, revision: 7, changed: [], gone: [], size: 2 };
   assert.equal(table.follow(delta), "gap");
 });
 
-test("a delta older than the listing in force is not taken", () => {
+test("a delta older than the table is not applied", () => {
   const table = new ReplicaTable();
   table.adopt({ revision: 9, entries: [] });
   const changed = [entry("a", false)];
--- a/test/gateway/replicas/lone_gate.ts
+++ b/test/gateway/replicas/lone_gate.ts
@@ -1,29 +1,29 @@
-/** What a host that has no others beside it knows of its replicas. */
+/** The replica gate of a host without other hosts. */
 import { systemClock } from "../../../src/gateway/clock.ts";
 import { LeavingReplicas } from "../../../src/gateway/replicas/leaving_replicas.ts";
 import {
   ReplicaGate,
-  type ReplicaGateSource,
+  type ReplicaGateOptions,
 } from "../../../src/gateway/replicas/replica_gate.ts";
 import { ReplicaTable } from "../../../src/gateway/replicas/replica_table.ts";
 import { loneLimits } from "../limits/lone_limits.ts";
 
-/** The gate and what leaves, over a table of replicas. */
-export function loneGate(change: Partial<ReplicaGateSource> = {}): {
+/** Creates a gate, and the draining replicas that it uses. */
+export function loneGate(options: Partial<ReplicaGateOptions> = {}): {
   readonly leaving: LeavingReplicas;
   readonly gate: ReplicaGate;
 } {
-  const { replicas = new ReplicaTable() } = change;
-  const { events = { note: () => undefined } } = change;
-  const { leaving = new LeavingReplicas(replicas, events) } = change;
+  const { replicas = new ReplicaTable() } = options;
+  const { events = { note: () => undefined } } = options;
+  const { draining = new LeavingReplicas(replicas, events) } = options;
   const gate = new ReplicaGate({
     clock: systemClock,
     random: () => 0,
     limits: loneLimits({ events }),
-    ...change,
+    ...options,
     events,
     replicas,
-    leaving,
+    draining,
   });
-  return { leaving, gate };
+  return { leaving: draining, gate };
 }
--- a/test/gateway/replicas/replica_table_test.ts
+++ b/test/gateway/replicas/replica_table_test.ts
@@ -1,4 +1,4 @@
-/** Listings of replicas: what is open, and that they never go back. */
+/** The replica table: adopting listings and deltas, draining, pauses. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { ReplicaEntry } from "../../../src/gateway/mod.ts";
@@ -11,26 +11,30 @@
   return replicaEntry(incarnation, { leaving });
 }
 
-test("a listing older than the one in force is not taken", () => {
+test("a listing older than the table is not adopted", () => {
   const table = new ReplicaTable();
   table.adopt({ revision: 5, entries: [entry("a", true)] });
   assert.equal(table.adopt({ revision: 4, entries: [entry("a")] }), undefined);
   assert.deepEqual(table.openOf("s"), []);
 });
 
-test("a replica that leaves or is gone takes no new work", () => {
+test("a draining or removed replica accepts no new requests", () => {
   const table = new ReplicaTable();
   table.adopt({ revision: 1, entries: [entry("a"), entry("b")] });
   const [a, b] = table.openOf("s");
   assert.ok(a && b);
   const change = table.adopt({ revision: 2, entries: [entry("a", true)] });
-  assert.deepEqual(change?.leaving.map((one) => one.incarnation), ["a"]);
-  assert.deepEqual(change?.removed.map((one) => one.incarnation), ["b"]);
-  assert.equal(table.open(a), false);
-  assert.equal(table.open(b), false);
+  assert.deepEqual(change?.leaving.map((replica) => replica.incarnation), [
+    "a",
+  ]);
+  assert.deepEqual(change?.removed.map((replica) => replica.incarnation), [
+    "b",
+  ]);
+  assert.equal(table.isOpen(a), false);
+  assert.equal(table.isOpen(b), false);
 });
 
-test("what is known of a replica outlives a listing, not its restart", () => {
+test("the state of a replica is kept over listings but not over a restart", () => {
   const table = new ReplicaTable();
   table.adopt({ revision: 1, entries: [entry("a")] });
   table.get("a")?.noteFailure(0, true);
@@ -40,7 +44,7 @@
   assert.equal(table.get("b")?.paused(1), false);
 });
 
-test("pauses grow with failures in a row and end with a success", () => {
+test("pauses grow with consecutive failures and end with a success", () => {
   const replica = new Replica(entry("a"));
   replica.noteFailure(0, false);
   assert.equal(replica.paused(1), false);
@@ -53,7 +57,7 @@
   assert.equal(replica.paused(401), false);
 });
 
-test("a replica that failed is tried with one call at a time", () => {
+test("a replica that failed gets one trial call at a time", () => {
   const replica = new Replica(entry("a"));
   replica.noteTry(0);
   assert.equal(replica.paused(1), false);
@@ -67,98 +71,106 @@
   assert.equal(replica.paused(901), false);
 });
 
-test("replicas that a listing lacks are kept only where that is asked", () => {
+test("missing replicas are kept only with keepMissing", () => {
   const table = new ReplicaTable();
   table.adopt({ revision: 1, entries: [entry("a"), entry("b", true)] });
   const change = table.adopt({ revision: 2, entries: [] }, {
     keepMissing: true,
   });
-  assert.deepEqual(change?.kept.map((one) => one.incarnation), ["a"]);
-  assert.deepEqual(change?.removed.map((one) => one.incarnation), ["b"]);
+  assert.deepEqual(change?.kept.map((replica) => replica.incarnation), ["a"]);
+  assert.deepEqual(change?.removed.map((replica) => replica.incarnation), [
+    "b",
+  ]);
   assert.equal(table.openOf("s").length, 1);
   table.adopt({ revision: 3, entries: [] });
   assert.deepEqual(table.openOf("s"), []);
 });
 
-test("a replica that was leaving stays so when its entry comes back", () => {
+test("a draining replica stays draining when it is listed as ready again", () => {
   const table = new ReplicaTable();
   table.adopt({ revision: 1, entries: [entry("a", true)] });
   table.adopt({ revision: 2, entries: [entry("a")] });
   assert.deepEqual(table.openOf("s"), []);
 });
 
-function started(born: number, leaving = false): ReplicaEntry {
+function startedEntry(born: number, leaving = false): ReplicaEntry {
   return replicaEntry("a", { incarnation: `a@${born}`, born, leaving });
 }
 
-test("a replica that starts again under its id is another, and takes work", () => {
+test("a replica restarted under its id is a new replica and accepts requests", () => {
   const table = new ReplicaTable();
-  table.adopt({ revision: 1, entries: [started(1)] });
+  table.adopt({ revision: 1, entries: [startedEntry(1)] });
   table.get("a@1")?.noteFailure(0, true);
-  table.adopt({ revision: 2, entries: [started(1, true)] });
-  const change = table.adopt({ revision: 3, entries: [started(2)] });
-  assert.deepEqual(change?.added.map((one) => one.incarnation), ["a@2"]);
-  assert.deepEqual(change?.removed.map((one) => one.incarnation), ["a@1"]);
+  table.adopt({ revision: 2, entries: [startedEntry(1, true)] });
+  const change = table.adopt({ revision: 3, entries: [startedEntry(2)] });
+  assert.deepEqual(change?.added.map((replica) => replica.incarnation), [
+    "a@2",
+  ]);
+  assert.deepEqual(change?.removed.map((replica) => replica.incarnation), [
+    "a@1",
+  ]);
   assert.equal(table.get("a@1"), undefined);
   assert.equal(table.get("a@2")?.paused(1), false);
   assert.equal(table.openOf("s").length, 1);
 });
 
-test("late news of an earlier start does not undo the later one", () => {
+test("a late entry of an earlier start does not replace the later one", () => {
   const table = new ReplicaTable();
-  table.adopt({ revision: 1, entries: [started(2)] });
-  table.adopt({ revision: 2, entries: [started(1, true)] });
-  assert.deepEqual(table.openOf("s").map((one) => one.entry.born), [2]);
+  table.adopt({ revision: 1, entries: [startedEntry(2)] });
+  table.adopt({ revision: 2, entries: [startedEntry(1, true)] });
+  assert.deepEqual(table.openOf("s").map((replica) => replica.entry.born), [2]);
 });
 
-test("while missing replicas are kept, one that started again is not kept twice", () => {
+test("with keepMissing, the predecessor of a restarted replica is not kept", () => {
   const table = new ReplicaTable();
-  table.adopt({ revision: 1, entries: [started(1)] });
-  const change = table.adopt({ revision: 2, entries: [started(2)] }, {
+  table.adopt({ revision: 1, entries: [startedEntry(1)] });
+  const change = table.adopt({ revision: 2, entries: [startedEntry(2)] }, {
     keepMissing: true,
   });
   assert.deepEqual(change?.kept, []);
   assert.equal(table.size, 1);
 });
 
-test("a follower learns that a replica has started again", () => {
+test("a delta reports a restarted replica", () => {
   const reader = new ReplicaTable();
   const follower = new ReplicaTable();
-  reader.adopt({ revision: 1, entries: [started(1)] });
-  follower.adopt({ revision: 1, entries: [started(1)] });
-  reader.adopt({ revision: 2, entries: [started(2)] });
+  reader.adopt({ revision: 1, entries: [startedEntry(1)] });
+  follower.adopt({ revision: 1, entries: [startedEntry(1)] });
+  reader.adopt({ revision: 2, entries: [startedEntry(2)] });
   const delta = reader.after(1);
   assert.deepEqual(delta?.gone, []);
   assert.ok(delta && follower.follow(delta) !== "gap");
   assert.deepEqual(follower.entries(), reader.entries());
 });
 
-test("changes are no base for a table that keeps what its listing lacks", () => {
+test("a table with kept replicas needs a full listing", () => {
   const table = new ReplicaTable();
   table.adopt({ revision: 1, entries: [entry("a"), entry("b")] });
   assert.equal(table.base, 1);
   table.adopt({ revision: 2, entries: [entry("a")] }, { keepMissing: true });
   assert.equal(table.base, -1);
-  // As many as the other's table has, and not the same.
+  // The number of replicas matches, their ids don't.
   const delta = { since: 2, revision: 3, changed: [], gone: [], size: 2 };
   assert.equal(table.follow(delta), "gap");
-  const whole = { ...delta, since: -1, changed: [entry("a"), entry("c")] };
-  assert.notEqual(table.follow(whole), "gap");
+  const full = { ...delta, since: -1, changed: [entry("a"), entry("c")] };
+  assert.notEqual(table.follow(full), "gap");
   assert.equal(table.base, 3);
   assert.equal(table.get("b"), undefined);
 });
 
-test("a replica that went in an earlier era is left out of a doubtful listing", () => {
+test("with leaveOutGone, a replica removed in an earlier era is excluded", () => {
   const table = new ReplicaTable();
   table.adopt({ revision: positionOf(1, 5), entries: [entry("a")] });
   table.adopt({ revision: positionOf(1, 6), entries: [] });
-  const copy = { revision: positionOf(2, 5), entries: [entry("a")] };
-  table.adopt(copy, { leaveOutGone: true });
+  const restored = { revision: positionOf(2, 5), entries: [entry("a")] };
+  table.adopt(restored, { leaveOutGone: true });
   assert.equal(table.get("a"), undefined);
-  table.adopt({ ...copy, revision: positionOf(2, 6) });
+  table.adopt({ ...restored, revision: positionOf(2, 6) });
   assert.ok(table.get("a"));
-  // What went in this era and is back in it was written again.
+  // A replica that was removed and listed again in the same era is valid.
   table.adopt({ revision: positionOf(2, 7), entries: [] });
-  table.adopt({ ...copy, revision: positionOf(2, 8) }, { leaveOutGone: true });
+  table.adopt({ ...restored, revision: positionOf(2, 8) }, {
+    leaveOutGone: true,
+  });
   assert.ok(table.get("a"));
 });
--- a/test/gateway/replicas/schema_test.ts
+++ b/test/gateway/replicas/schema_test.ts
@@ -1,4 +1,4 @@
-/** Entries of replicas as hosts tell them to each other. */
+/** Encoding of replica entries in messages between hosts. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import {
@@ -7,7 +7,7 @@
 } from "../../../src/gateway/replicas/schema.ts";
 import { replicaEntry } from "../replica_entry.ts";
 
-test("an entry comes back as it was told, its start included", () => {
+test("a decoded entry equals the encoded one, its incarnation included", () => {
   const restarted = replicaEntry("a", { incarnation: "a@7", born: 7 });
   for (const entry of [replicaEntry("a"), restarted]) {
     const text = JSON.stringify(encodeEntry(entry));
@@ -15,7 +15,7 @@
   }
 });
 
-test("hosts that know of no restarts under an id read the id", () => {
+test("the id is encoded as the incarnation, for hosts without support for restarts", () => {
   const entry = replicaEntry("a", { incarnation: "a@7", born: 7 });
   assert.equal(encodeEntry(entry).incarnation, "a");
 });
