--- a/src/gateway/limits/allowance.ts
+++ b/src/gateway/limits/allowance.ts
@@ -1,38 +1,41 @@
-/** What an owner gives out of a replica's limit; pure. */
+/** How many permits an owner grants under a replica's limit; pure functions. */
 import type { Milliseconds } from "../../util/units.ts";
 import type { Allowance } from "../quota/bounds.ts";
 
 /**
- * Requests are given out in windows of about this length, so that a rate below
- * one a second is whole requests. A shorter window leaves less for bursts; in
- * a longer one what was sent before the limit was named counts for longer.
+ * Approximate length of the windows in which permits are granted, chosen so that
+ * rates below one request per second yield whole requests. Shorter windows allow
+ * smaller bursts; in longer ones, sends from before the limit count for longer.
  */
 const WINDOW_S = 4;
 /**
- * A replica that names less, or 0, is asked this often all the same: only its
- * answers tell that its limit is over, so that is known after 5 s at the latest.
+ * Lower bound of the rate, also for a limit of 0. Only responses of the replica
+ * show that its limit has ended, and this rate yields one within 5 s.
  */
 export const LEAST_PER_SECOND = 0.2;
-/** How long permits are remembered, to tell a new owner: a window and more. */
-export const PERMITS_MEMORY_MS: Milliseconds = 5000;
 /**
- * Sends of so long before a host heard of a limit count against it: a replica
- * in need has them to do yet. It covers 1 s before the limit was named and the
- * time until the first answer that names it comes.
+ * How long hosts remember permits, to report them to a new owner. Longer than
+ * {@link WINDOW_S}.
  */
-export const PAST_SENDS_MS: Milliseconds = 1500;
+export const PERMIT_RETENTION_MS: Milliseconds = 5000;
 /**
- * They count in part, for they were sent when nobody knew better: so all sends
- * of a window in which a limit begins are at most half as many again as in any
- * other, and a replica at half as much again as its limit isn't left idle.
+ * Sends this recent count against a new limit, since the replica may still be
+ * processing them. It covers 1 s before the replica named the limit, and the
+ * time until a host receives the first response that names it.
+ */
+export const PAST_SENDS_WINDOW_MS: Milliseconds = 1500;
+/**
+ * Units counted for each such send. Counting only a part keeps all sends of a
+ * limit's first window within 1.5 times its allowance, and doesn't leave a replica
+ * idle that was at 1.5 times its limit.
  */
 export const PAST_SEND_UNITS = 2 / 3;
 
 /**
- * The requests that an owner named by `share` of the hosts lets through: in the
- * long run exactly its part of the rate. Below one request in a window it is the
- * window that grows, so that hosts that are cut off from most others still use
- * the replica.
+ * Returns the requests that an owner chosen by `share` of the hosts permits in a
+ * window; on average exactly its share of the rate. Below one request per window
+ * the window grows instead, so that hosts that are partitioned from most others
+ * can still use the replica.
  */
 export function limitAllowance(perSecond: number, share: number): Allowance {
   const rate = Math.max(LEAST_PER_SECOND, perSecond) * share;
--- a/src/gateway/limits/limit_messages.ts
+++ b/src/gateway/limits/limit_messages.ts
@@ -1,43 +1,43 @@
-/** How hosts tell each other of limits, over links. */
+/** Messages in which hosts report limits to each other over links. */
 import * as z from "zod";
 import type { Milliseconds } from "../../util/units.ts";
 import type { LimitRecord } from "./model.ts";
 
-const Limit = z.object({
+const LimitMessage = z.object({
   incarnation: z.string(),
-  /** Requests a second; absent: no limit any more. */
+  /** Requests per second; absent when the limit has ended. */
   perSecond: z.number().min(0).exactOptional(),
-  /** Hosts share no clock. */
+  /** Age of the record; a duration, since hosts' clocks are not synchronized. */
   agoMs: z.number(),
 });
 
-/** Reads what a host knows of limits. */
+/** Schema of {@link LimitsMessage}. */
 export const LimitsSchema = z.object({
   type: z.literal("limits"),
-  limits: z.array(Limit).readonly(),
+  limits: z.array(LimitMessage).readonly(),
 });
-/** What a host knows of limits. */
+/** Limit records of a host. */
 export type LimitsMessage = z.output<typeof LimitsSchema>;
 
-/** Records as others read them. */
+/** Encodes records, with ages instead of times. */
 export function encodeLimits(
   records: readonly LimitRecord[],
   now: Milliseconds,
 ): LimitsMessage {
-  const limits = records.map(({ at, ...one }) => ({
-    ...one,
+  const limits = records.map(({ at, ...record }) => ({
+    ...record,
     agoMs: Math.max(0, Math.round(now - at)),
   }));
   return { type: "limits", limits };
 }
 
-/** Records by this host's clock. */
+/** Decodes records, with times by this host's clock. */
 export function decodeLimits(
   { limits }: LimitsMessage,
   now: Milliseconds,
 ): LimitRecord[] {
-  return limits.map(({ agoMs, ...one }) => ({
-    ...one,
+  return limits.map(({ agoMs, ...record }) => ({
+    ...record,
     at: now - Math.max(0, agoMs),
   }));
 }
--- a/src/gateway/limits/limit_table.ts
+++ b/src/gateway/limits/limit_table.ts
@@ -1,50 +1,48 @@
 /**
- * The limits that replicas have named, as far as this host knows; needs no
- * clock. Answers overtake each other, and so does what hosts tell of them, so
- * a limit begins or falls at once, and rises or ends only by an answer that
- * was surely made after it was named.
+ * The limits that replicas have named. Responses and messages of other hosts may
+ * arrive out of order, so a limit starts or falls at once, and rises or ends only
+ * by a response that was certainly made after the limit was named.
  */
 import type { Milliseconds } from "../../util/units.ts";
 import { forgetOldest } from "../../util/forget_oldest.ts";
 import type { LimitHeader, LimitRecord } from "./model.ts";
 
 /**
- * Hosts share no clock: a record's age is right but for the time that it was
- * under way. A link is given up after 900 ms without a line, so what came over
- * one is not older than it says by more than this.
+ * Bounds by how much a record received over a link may be older than its age
+ * says: its time in transit. A link is closed after 900 ms without a line.
  */
-const RELAY_MS = 1000;
-/** Replicas of which a limit, or its end, is remembered: five times 600. */
-const MOST_REPLICAS = 3000;
+const MAX_RELAY_DELAY_MS = 1000;
+/** Maximum number of replicas whose limit, or its end, is remembered. */
+const MAX_REPLICAS = 3000;
 
-/** What one answer says of its replica's limit. */
+/** What one response reports about its replica's limit. */
 export type LimitAnswer = {
   readonly incarnation: string;
   readonly header: LimitHeader;
-  /** When the request was sent that it answers. */
+  /** When the request of the response was sent. */
   readonly sentAt: Milliseconds;
 };
 
-/** Limits by the replicas' incarnations. */
+/** Limit records by incarnation of the replica. */
 export class LimitTable {
   readonly #records = new Map<string, LimitRecord>();
 
-  /** Replicas that have a limit now. */
+  /** Number of replicas that have a limit. */
   get limited(): number {
-    return this.all().filter((one) => one.perSecond !== undefined).length;
+    return this.all().filter((record) => record.perSecond !== undefined).length;
   }
 
-  /** Replicas of which something is known. */
+  /** Number of replicas with a record. */
   get size(): number {
     return this.#records.size;
   }
 
-  /** Requests a second that the replica takes; undefined: no limit is known. */
+  /** The replica's limit in requests per second, if it has one. */
   limitOf(incarnation: string): number | undefined {
     return this.#records.get(incarnation)?.perSecond;
   }
 
-  /** Takes what an answer says; gives what it changed. */
+  /** Handles a response; returns the record if the limit has changed. */
   hear(answer: LimitAnswer, now: Milliseconds): LimitRecord | undefined {
     const { incarnation, header, sentAt } = answer;
     if (header.type === "unreadable") return undefined;
@@ -55,42 +53,44 @@
     if (!isSurelyLater && !isStricter(perSecond, known.perSecond)) {
       return undefined;
     }
-    return this.#put(recordOf(incarnation, perSecond, now));
+    return this.#store(recordOf(incarnation, perSecond, now));
   }
 
-  /** Takes what another host knows; gives what was news here. */
+  /** Merges records of another host; returns those that changed this table. */
   take(records: readonly LimitRecord[]): LimitRecord[] {
-    const news: LimitRecord[] = [];
+    const updates: LimitRecord[] = [];
     for (const record of records) {
-      if (this.#isNews(record)) news.push(this.#put(record));
+      if (this.#isUpdate(record)) updates.push(this.#store(record));
     }
-    return news;
+    return updates;
   }
 
-  /** All that is known, for a host that may know nothing. */
+  /** All records, for a host that has just connected. */
   all(): LimitRecord[] {
     return [...this.#records.values()];
   }
 
-  #isNews({ incarnation, perSecond, at }: LimitRecord): boolean {
+  #isUpdate({ incarnation, perSecond, at }: LimitRecord): boolean {
     const known = this.#records.get(incarnation);
     if (perSecond === known?.perSecond) return false;
     if (!known) return true;
-    const slackMs = isStricter(perSecond, known.perSecond) ? 0 : RELAY_MS;
+    const slackMs = isStricter(perSecond, known.perSecond)
+      ? 0
+      : MAX_RELAY_DELAY_MS;
     return at > known.at + slackMs;
   }
 
-  #put(record: LimitRecord): LimitRecord {
+  #store(record: LimitRecord): LimitRecord {
     const { incarnation } = record;
-    // The newest are last.
+    // Reinserted at the end: the oldest records are evicted first.
     this.#records.delete(incarnation);
     this.#records.set(incarnation, record);
-    forgetOldest(this.#records, MOST_REPLICAS);
+    forgetOldest(this.#records, MAX_REPLICAS);
     return record;
   }
 }
 
-/** Whether fewer requests may be sent; undefined: as many as one likes. */
+/** Whether the limit is lower than before; undefined means unlimited. */
 function isStricter(
   perSecond: number | undefined,
   before: number | undefined,
--- a/src/gateway/limits/model.ts
+++ b/src/gateway/limits/model.ts
@@ -1,20 +1,20 @@
-/** Limits that replicas name on the rate of requests they take. */
+/** Rate limits named by replicas. */
 import type { Milliseconds } from "../../util/units.ts";
 
-/** What the head of an answer says of its replica's limit. */
+/** What a response's headers report about the replica's limit. */
 export type LimitHeader =
   | { readonly type: "none" }
-  /** Requests a second that the replica takes from all hosts together. */
+  /** Requests per second that the replica accepts from all hosts together. */
   | { readonly type: "limit"; readonly perSecond: number }
-  /** There is one, but it is no number. */
+  /** The header isn't a valid number. */
   | { readonly type: "unreadable"; readonly text: string };
 
-/** What became known of a replica's limit. */
+/** A change of a replica's limit. */
 export type LimitRecord = {
-  /** The replica, by its incarnation. */
+  /** The incarnation of the replica. */
   readonly incarnation: string;
-  /** Requests a second from all hosts together; absent: no limit any more. */
+  /** Requests per second, for all hosts together; absent when the limit ended. */
   readonly perSecond?: number;
-  /** When an answer said so, by this host's clock. */
+  /** When a host received the response that reported it, by this host's clock. */
   readonly at: Milliseconds;
 };
--- a/src/gateway/limits/replica_limits.ts
+++ b/src/gateway/limits/replica_limits.ts
@@ -1,8 +1,7 @@
 /**
- * Keeps all hosts together within the limits that replicas name. Each send to a
- * replica needs a permit; where the replica has a limit, an owner among the
- * hosts gives it and counts for all of them. It is asked by every way that
- * leads to a replica, so that none of them needs to know of limits.
+ * Keeps the requests of all hosts together within the limits that replicas name.
+ * Each send to a replica needs a permit. If the replica has a limit, one of the
+ * hosts, its owner, grants the permits and counts them for all hosts.
  */
 import type { HostId } from "../../util/ids.ts";
 import type { Milliseconds } from "../../util/units.ts";
@@ -24,45 +23,48 @@
   LEAST_PER_SECOND,
   limitAllowance,
   PAST_SEND_UNITS,
-  PAST_SENDS_MS,
-  PERMITS_MEMORY_MS,
+  PAST_SENDS_WINDOW_MS,
+  PERMIT_RETENTION_MS,
 } from "./allowance.ts";
 import { LimitTable } from "./limit_table.ts";
 import type { LimitHeader, LimitRecord } from "./model.ts";
 
 /**
- * Longest wait for an owner's answer, which takes some 3 ms: then the request
- * goes to another replica, or is told to come back.
+ * Maximum wait for an owner's response. After it the request is sent to another
+ * replica or refused.
  */
-const ANSWER_MS = 100;
-/** A request that no owner answered comes back after this time. */
-const UNKNOWN_RETRY_MS = 500;
-/** Links to owners are closed when no limit was known for so long. */
-const REST_MS = 30_000;
-/** What is logged of a header that is no number, in characters. */
-const LONGEST_TEXT = 40;
+const OWNER_TIMEOUT_MS = 100;
+/** Retry delay of a request to which no owner responded in time. */
+const TIMEOUT_RETRY_MS = 500;
+/** Links to owners are closed after this time without any limit. */
+const IDLE_LINK_TIMEOUT_MS = 30_000;
+/** Maximum number of characters logged of an unreadable header. */
+const MAX_LOGGED_CHARS = 40;
 
-/** Leave to send one request to a replica. */
+/** Permission to send one request to a replica. */
 export type SendPermit = {
-  /** The request goes out. */
+  /** Marks the permit as used: the request is sent. */
   use(): void;
-  /** It won't be sent; nothing happens if it was. */
+  /** Releases the permit unless it was used. */
   giveBack(): void;
 };
 
-/** A permit, or when to ask again. */
+/** A permit, or when to retry. */
 export type PermitOutcome =
   | { readonly type: "granted"; readonly permit: SendPermit }
   | { readonly type: "refused"; readonly retryAfterMs: Milliseconds };
 
-/** Told what is news here; `from` is whom it came from, if not this host. */
+/**
+ * Called with records that are new to this host; `from` is the sender, undefined
+ * when this host observed them.
+ */
 export type LimitListener = (
-  news: readonly LimitRecord[],
+  updates: readonly LimitRecord[],
   from: unknown,
 ) => void;
 
-/** What the limits are made from. */
-export type ReplicaLimitsSource = {
+/** Options of {@link ReplicaLimits}. */
+export type ReplicaLimitsOptions = {
   readonly self: {
     readonly id: HostId;
     readonly hall: string;
@@ -71,35 +73,35 @@
   readonly clock: Clock;
   readonly events: EventLog;
   readonly metrics: Pick<Metrics, "count">;
-  /** The replica of an incarnation, while it is listed. */
+  /** The replica with the given incarnation, while it is listed. */
   readonly replicaOf: (incarnation: string) => Replica | undefined;
-  /** The other hosts; the same array while none changes. */
+  /** The other hosts; the same array as long as none changes. */
   readonly hosts: () => readonly HostEntry[];
-  /** Hosts of the fleet, this one included. */
+  /** Number of hosts in the fleet, this one included. */
   readonly hostCount: () => number;
   /** Opens a link to an owner. */
   readonly openLink: (target: LinkTarget, events: LinkEvents) => Link;
 };
 
-/** The limits that this host knows of, and its sends under them. */
+/** The limits of replicas, and this host's permits under them. */
 export class ReplicaLimits {
-  /** Counts for the hosts that name this one. */
+  /** Grants permits to the hosts that chose this host as owner. */
   readonly owner: QuotaOwner;
-  readonly #source: ReplicaLimitsSource;
+  readonly #options: ReplicaLimitsOptions;
   readonly #table = new LimitTable();
   readonly #member: QuotaMember;
   readonly #listeners: LimitListener[] = [];
-  #limitedAt: Milliseconds = -Infinity;
+  #lastLimitedAt: Milliseconds = -Infinity;
 
-  constructor(source: ReplicaLimitsSource) {
-    const { self, clock, events, hosts, hostCount, openLink } = source;
-    this.#source = source;
+  constructor(options: ReplicaLimitsOptions) {
+    const { self, clock, events, hosts, hostCount, openLink } = options;
+    this.#options = options;
     this.owner = new QuotaOwner({
       clock,
       run: self.run,
       allowance: ({ name, rate }, share) =>
         limitAllowance(this.limitOf(name) ?? rate.perSecond, share),
-      memoryMs: () => PERMITS_MEMORY_MS,
+      memoryMs: () => PERMIT_RETENTION_MS,
       knownHosts: hostCount,
     });
     this.#member = new QuotaMember({
@@ -107,34 +109,34 @@
       clock,
       own: this.owner,
       hosts,
-      memoryMs: () => PERMITS_MEMORY_MS,
+      memoryMs: () => PERMIT_RETENTION_MS,
       path: LinkPath.limit,
       noteLost: (owner) => events.note("limitOwnerLost", { owner }),
       openLink,
     });
   }
 
-  /** Replicas that have a limit now. */
+  /** Number of replicas that have a limit. */
   get limited(): number {
     return this.#table.limited;
   }
 
-  /** Requests a second that a replica takes; undefined: any number. */
+  /** A replica's limit in requests per second, if it has one. */
   limitOf(incarnation: string): number | undefined {
     return this.#table.limitOf(incarnation);
   }
 
-  /** Calls `listener` with all that becomes known. */
+  /** Calls `listener` with each update. */
   listen(listener: LimitListener): void {
     this.#listeners.push(listener);
   }
 
-  /** All that is known, for a host that may know nothing. */
+  /** All records, for a host that has just connected. */
   all(): readonly LimitRecord[] {
     return this.#table.all();
   }
 
-  /** An answer of the replica came, to a request that was sent at `sentAt`. */
+  /** Handles the headers of a response to a request that was sent at `sentAt`. */
   hear(
     incarnation: string,
     header: LimitHeader,
@@ -142,49 +144,54 @@
   ): void {
     const before = this.limitOf(incarnation);
     if (header.type === "unreadable") {
-      this.#source.events.note("limitUnreadable", {
+      this.#options.events.note("limitUnreadable", {
         replica: incarnation,
-        text: header.text.slice(0, LONGEST_TEXT),
+        text: header.text.slice(0, MAX_LOGGED_CHARS),
         per_second: before,
       });
     }
-    const now = this.#source.clock.now();
+    const now = this.#options.clock.now();
     const change = this.#table.hear({ incarnation, header, sentAt }, now);
     if (!change) return;
     this.#noteChange(change, before);
-    this.#tell([change], undefined);
+    this.#notify([change], undefined);
   }
 
-  /** Takes what another host knows. */
+  /** Handles records received from another host. */
   take(records: readonly LimitRecord[], from: unknown): void {
     const before = new Map(
-      records.map((one) => [one.incarnation, this.limitOf(one.incarnation)]),
+      records.map((
+        record,
+      ) => [record.incarnation, this.limitOf(record.incarnation)]),
     );
-    const news = this.#table.take(records);
-    if (news.length === 0) return;
-    for (const one of news) this.#noteChange(one, before.get(one.incarnation));
-    this.#tell(news, from);
+    const updates = this.#table.take(records);
+    if (updates.length === 0) return;
+    for (const record of updates) {
+      this.#noteChange(record, before.get(record.incarnation));
+    }
+    this.#notify(updates, from);
   }
 
-  /** Links to owners stand while there is a limit. */
+  /** Opens links to owners while there is a limit, and closes idle ones. */
   link(): void {
     if (this.#table.size === 0) return;
-    const now = this.#source.clock.now();
-    if (this.limited > 0) this.#limitedAt = now;
-    if (now - this.#limitedAt < REST_MS) this.#member.refresh();
-    else this.#member.idle();
+    const now = this.#options.clock.now();
+    if (this.limited > 0) this.#lastLimitedAt = now;
+    if (now - this.#lastLimitedAt < IDLE_LINK_TIMEOUT_MS) {
+      this.#member.refresh();
+    } else this.#member.idle();
   }
 
-  /** Leave to send one request to the replica now. */
+  /** Requests a permit to send one request to the replica now. */
   async permit(replica: Replica): Promise<PermitOutcome> {
     const { incarnation } = replica.entry;
     const perSecond = this.limitOf(incarnation);
     if (perSecond === undefined) {
       return { type: "granted", permit: this.#freePermit(replica) };
     }
-    const { metrics } = this.#source;
-    const outcome = await this.#inTime(
-      this.#member.take(takeOf(incarnation, perSecond)),
+    const { metrics } = this.#options;
+    const outcome = await this.#withTimeout(
+      this.#member.take(quotaRequestOf(incarnation, perSecond)),
     );
     metrics.count(`limit_permits_${outcome.type}`);
     if (outcome.type === "granted") {
@@ -192,41 +199,41 @@
     }
     const retryAfterMs = outcome.type === "refused"
       ? outcome.retryAfterMs
-      : UNKNOWN_RETRY_MS;
+      : TIMEOUT_RETRY_MS;
     return { type: "refused", retryAfterMs };
   }
 
-  /** An owner that is late is not waited for; what it gives then goes back. */
-  #inTime(outcome: Promise<QuotaOutcome>): Promise<QuotaOutcome> {
-    const { clock } = this.#source;
+  /** Limits the wait for an owner's response; releases a permit that comes late. */
+  #withTimeout(outcome: Promise<QuotaOutcome>): Promise<QuotaOutcome> {
+    const { clock } = this.#options;
     return new Promise((resolve) => {
       let isLate = false;
-      const cancel = clock.after(ANSWER_MS, () => {
+      const cancel = clock.after(OWNER_TIMEOUT_MS, () => {
         isLate = true;
         resolve({ type: "unknown" });
       });
-      void outcome.then((one) => {
+      void outcome.then((result) => {
         cancel();
-        if (isLate && one.type === "granted") one.giveBack();
-        resolve(one);
+        if (isLate && result.type === "granted") result.giveBack();
+        resolve(result);
       });
     });
   }
 
   /**
-   * The send is remembered: if the replica names a limit soon after, it counts
-   * against it.
+   * Permits a send to a replica without a limit. The send is remembered, since it
+   * counts against a limit that the replica names soon after.
    */
   #freePermit(replica: Replica): SendPermit {
-    const { clock } = this.#source;
+    const { clock } = this.#options;
     return {
       use: () => {
         const now = clock.now();
         const { incarnation } = replica.entry;
         const perSecond = this.limitOf(incarnation);
-        // It was named between the permit and the send.
+        // Otherwise the limit was named between the permit and the send.
         if (perSecond === undefined) return replica.noteSend(now);
-        this.#member.noteTaken(takeOf(incarnation, perSecond), [now]);
+        this.#member.noteTaken(quotaRequestOf(incarnation, perSecond), [now]);
       },
       giveBack: () => undefined,
     };
@@ -236,28 +243,31 @@
     { incarnation, perSecond }: LimitRecord,
     before: number | undefined,
   ): void {
-    const { events, clock, replicaOf } = this.#source;
+    const { events, clock, replicaOf } = this.#options;
     const replica = incarnation;
     if (perSecond === undefined) {
       return events.note("limitEnded", { replica, before });
     }
     events.note("limitNamed", { replica, per_second: perSecond, before });
     if (before !== undefined) return;
-    this.#limitedAt = clock.now();
-    const oldest = clock.now() - PAST_SENDS_MS;
+    this.#lastLimitedAt = clock.now();
+    const oldest = clock.now() - PAST_SENDS_WINDOW_MS;
     const sends = replicaOf(incarnation)?.takeSends(oldest) ?? [];
-    const past = { ...takeOf(incarnation, perSecond), units: PAST_SEND_UNITS };
+    const past = {
+      ...quotaRequestOf(incarnation, perSecond),
+      units: PAST_SEND_UNITS,
+    };
     this.#member.noteTaken(past, sends);
     this.#member.refresh();
   }
 
-  #tell(news: readonly LimitRecord[], from: unknown): void {
-    for (const listener of this.#listeners) listener(news, from);
+  #notify(updates: readonly LimitRecord[], from: unknown): void {
+    for (const listener of this.#listeners) listener(updates, from);
   }
 }
 
-/** One request of what a replica takes; nobody waits for it. */
-function takeOf(incarnation: string, perSecond: number): QuotaTake {
+/** The quota request for one send to a replica; it never waits in a queue. */
+function quotaRequestOf(incarnation: string, perSecond: number): QuotaTake {
   return {
     customer: incarnation,
     units: 1,
--- a/test/gateway/limits/allowance_test.ts
+++ b/test/gateway/limits/allowance_test.ts
@@ -1,4 +1,4 @@
-/** What owners of a replica's limit give out, for whatever rate and share. */
+/** Permits that owners of a replica's limit grant, for any rate and share. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import fc from "fast-check";
@@ -17,33 +17,33 @@
   fc.double({ min: 2, max: 5000, noNaN: true }),
 );
 
-test("an owner's part of a limit is its share in the long run, and whole requests", () => {
+test("an owner grants whole requests, on average its share of the limit", () => {
   const share = fc.double({ min: 0.002, max: 1, noNaN: true });
   fc.assert(fc.property(anyRate, share, (perSecond, part) => {
     const { units, windowMs } = limitAllowance(perSecond, part);
     assert.ok(units >= 1 && Number.isInteger(units));
     const rate = units / windowMs * 1000;
-    const meant = Math.max(LEAST_PER_SECOND, perSecond) * part;
-    assert.ok(Math.abs(rate - meant) <= meant * 1e-9);
+    const expected = Math.max(LEAST_PER_SECOND, perSecond) * part;
+    assert.ok(Math.abs(rate - expected) <= expected * 1e-9);
   }));
 });
 
-test("sides of a split fleet together stay within the bound of a limit", () => {
+test("the sides of a partitioned fleet together stay within the bound of a limit", () => {
   const sizes = fc.array(fc.integer({ min: 1, max: 30 }), {
     minLength: 1,
     maxLength: 4,
   });
   fc.assert(fc.property(anyRate, sizes, (perSecond, sides) => {
-    const hosts = sides.reduce((sum, one) => sum + one, 0);
+    const hosts = sides.reduce((sum, size) => sum + size, 0);
     // A span may hold the end of one window and the start of the next.
-    const most = sides.reduce((sum, size) => {
+    const total = sides.reduce((sum, size) => {
       const { units, windowMs } = limitAllowance(perSecond, size / hosts);
       return sum + (windowMs >= SPAN_MS ? units : units * SPAN_MS / windowMs);
     }, 0);
-    assert.ok(most <= mostAllowed(Math.max(LEAST_PER_SECOND, perSecond)));
+    assert.ok(total <= mostAllowed(Math.max(LEAST_PER_SECOND, perSecond)));
   }));
 });
 
-test("an owner that nobody names gives nothing", () => {
+test("an owner that no host chose grants nothing", () => {
   assert.equal(limitAllowance(1.4, 0).units, 0);
 });
--- a/test/gateway/limits/limit_fleet.ts
+++ b/test/gateway/limits/limit_fleet.ts
@@ -1,4 +1,4 @@
-/** Hosts that send to replicas with limits, in virtual time. */
+/** A fleet of hosts that send to a replica with a limit, in virtual time. */
 import type { LimitHeader } from "../../../src/gateway/mod.ts";
 import { Replica } from "../../../src/gateway/replicas/replica.ts";
 import {
@@ -9,26 +9,26 @@
 import { replicaEntry } from "../replica_entry.ts";
 import { type FleetHost, StateFleet } from "../state/state_fleet.ts";
 
-/** From a send to the head of its answer, as the replica makes it. */
-const ANSWER_MS = 30;
-const WAY_MS = 1;
-/** Part of the answers that are sent again on the way, and so come late. */
+/** Time from a send until the replica makes the response's headers. */
+const RESPONSE_MS = 30;
+const NETWORK_MS = 1;
+/** Share of responses that are delayed, as by a retransmission. */
 const LATE_SHARE = 0.1;
-const LATE_MS = 400;
-/** Hosts look after their links to owners this often. */
-const TICK_MS = 1000;
-/** From the first word of a limit on, its bound holds. */
-const CONTACT_MS = 3000;
+const MAX_LATE_MS = 400;
+/** Interval at which hosts maintain their links to owners. */
+const LINK_INTERVAL_MS = 1000;
+/** Time after which a new limit must be kept. */
+const SETTLE_MS = 3000;
 
 const ENTRY = replicaEntry("r");
 
-/** What a replica says of its limit at a time; undefined: nothing. */
+/** The limit that the replica names at a time; undefined for none. */
 export type LimitAt = (time: number) => number | undefined;
 
-/** A request that came to the replica. */
+/** A request received by the replica. */
 export type Arrival = { readonly at: number; readonly host: string };
 
-/** A fleet before one replica. */
+/** A fleet that sends to one replica. */
 export class LimitFleet {
   readonly fleet: StateFleet;
   readonly arrivals: Arrival[] = [];
@@ -47,17 +47,17 @@
       return state / 2 ** 32;
     };
     this.fleet.store.list(ENTRY);
-    for (const host of this.fleet.hosts) this.#tick(host);
+    for (const host of this.fleet.hosts) this.#maintainLinks(host);
   }
 
-  /** All hosts together send about so many a second, until a time. */
+  /** All hosts together send at an average rate, until a time. */
   load(perSecond: number, until: number): void {
     for (const host of this.fleet.hosts) {
       this.loadAt(host, perSecond / this.fleet.hosts.length, until);
     }
   }
 
-  /** One host sends about so many a second, until a time. */
+  /** One host sends at an average rate, until a time. */
   loadAt(host: FleetHost, perSecond: number, until: number): void {
     const { clock } = host.context;
     const next = () => {
@@ -71,45 +71,49 @@
     next();
   }
 
-  /** Does something at a time. */
+  /** Runs a callback at a time. */
   at(time: number, run: () => void): void {
     this.fleet.at(time, run);
   }
 
-  /** A host that has just started takes part. */
+  /** Adds a host that has just started. */
   add(): FleetHost {
     const host = this.fleet.add();
-    this.#tick(host);
+    this.#maintainLinks(host);
     return host;
   }
 
-  /** Requests that came within a time. */
+  /** Number of requests that the replica received in a time range. */
   countIn(from: number, to: number): number {
     return this.arrivals.filter(({ at }) => at >= from && at < to).length;
   }
 
   /**
-   * Spans in which more came than allowed: those that end 3 s after the limit
-   * was first named, or later. A rate that has changed counts as the highest of
-   * the span and the 3 s before.
+   * Describes spans with more requests than allowed, of those that end 3 s or
+   * more after the limit was first named. The highest limit within the span and
+   * the 3 s before it applies.
    */
-  excess(namedAt: number): string[] {
-    const found: string[] = [];
+  violations(namedAt: number): string[] {
+    const violations: string[] = [];
     for (const { at } of this.arrivals) {
-      if (at < namedAt + CONTACT_MS) continue;
-      const rates = this.#ratesIn(at - LIMIT_SPAN_MS - CONTACT_MS, at);
+      if (at < namedAt + SETTLE_MS) continue;
+      const rates = this.#ratesIn(at - LIMIT_SPAN_MS - SETTLE_MS, at);
       if (rates.includes(undefined)) continue;
-      const highest = Math.max(...rates.map((one) => one ?? 0));
+      const highest = Math.max(...rates.map((rate) => rate ?? 0));
       const count = this.countIn(at - LIMIT_SPAN_MS, at + 0.001);
       if (count <= mostAllowed(highest)) continue;
-      found.push(`${count} of ${mostAllowed(highest)} at ${Math.round(at)}`);
+      violations.push(
+        `${count} requests, allowed ${mostAllowed(highest)}, at ${
+          Math.round(at)
+        } ms`,
+      );
     }
-    return found;
+    return violations;
   }
 
-  /** The most requests within any span of a time. */
+  /** The highest number of requests within any span of a time range. */
   mostWithin(spanMs: number, from: number, to: number): number {
-    const times = this.arrivals.map((one) => one.at)
+    const times = this.arrivals.map((arrival) => arrival.at)
       .filter((at) => at >= from && at < to);
     return mostWithin(times, spanMs);
   }
@@ -120,10 +124,10 @@
     return rates;
   }
 
-  #tick(host: FleetHost): void {
-    host.context.clock.after(TICK_MS, () => {
+  #maintainLinks(host: FleetHost): void {
+    host.context.clock.after(LINK_INTERVAL_MS, () => {
       host.context.limits.link();
-      this.#tick(host);
+      this.#maintainLinks(host);
     });
   }
 
@@ -147,14 +151,14 @@
     outcome.permit.use();
     const sentAt = clock.now();
     this.arrivals.push({ at: this.fleet.now, host: host.entry.id });
-    this.fleet.at(this.fleet.now + ANSWER_MS, () => {
+    this.fleet.at(this.fleet.now + RESPONSE_MS, () => {
       const perSecond = this.#limitAt(this.fleet.now);
       const header: LimitHeader = perSecond === undefined
         ? { type: "none" }
         : { type: "limit", perSecond };
-      const isLost = this.#random() < LATE_SHARE;
-      const wayMs = isLost ? this.#random() * LATE_MS : WAY_MS;
-      clock.after(wayMs, () => limits.hear(incarnation, header, sentAt));
+      const isLate = this.#random() < LATE_SHARE;
+      const delayMs = isLate ? this.#random() * MAX_LATE_MS : NETWORK_MS;
+      clock.after(delayMs, () => limits.hear(incarnation, header, sentAt));
     });
   }
 }
--- a/test/gateway/limits/limit_table_test.ts
+++ b/test/gateway/limits/limit_table_test.ts
@@ -1,4 +1,4 @@
-/** What a host knows of replicas' limits, whatever overtakes what. */
+/** The limit table, when responses and records arrive out of order. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { LimitTable } from "../../../src/gateway/limits/limit_table.ts";
@@ -10,66 +10,66 @@
   return { type: "limit", perSecond };
 }
 
-function tableOf(): {
+function createTable(): {
   readonly table: LimitTable;
-  hear(header: LimitHeader, sentAt: number, now: number): boolean;
+  observe(header: LimitHeader, sentAt: number, now: number): boolean;
 } {
   const table = new LimitTable();
-  const hear = (header: LimitHeader, sentAt: number, now: number) =>
+  const observe = (header: LimitHeader, sentAt: number, now: number) =>
     table.hear({ incarnation: "r", header, sentAt }, now) !== undefined;
-  return { table, hear };
+  return { table, observe };
 }
 
-test("a limit holds until a later request's answer names none", () => {
-  const { table, hear } = tableOf();
-  assert.equal(hear(NONE, 0, 10), false);
-  assert.ok(hear(limit(1.4), 20, 100));
-  assert.equal(hear(limit(1.4), 30, 110), false);
+test("a limit applies until the response to a later request names none", () => {
+  const { table, observe } = createTable();
+  assert.equal(observe(NONE, 0, 10), false);
+  assert.ok(observe(limit(1.4), 20, 100));
+  assert.equal(observe(limit(1.4), 30, 110), false);
   assert.equal(table.limitOf("r"), 1.4);
-  // Sent before the limit was heard of: its answer may be the older one.
-  assert.equal(hear(NONE, 90, 120), false);
+  // Sent before the limit was recorded: its response may be the older one.
+  assert.equal(observe(NONE, 90, 120), false);
   assert.equal(table.limitOf("r"), 1.4);
-  assert.ok(hear(NONE, 101, 130));
+  assert.ok(observe(NONE, 101, 130));
   assert.equal(table.limitOf("r"), undefined);
   assert.equal(table.limited, 0);
 });
 
-test("a limit falls at once and rises only by a later request's answer", () => {
-  const { table, hear } = tableOf();
-  hear(limit(2), 0, 100);
-  assert.ok(hear(limit(1), 0, 110));
-  assert.equal(hear(limit(3), 105, 120), false);
+test("a limit falls at once and rises only by the response to a later request", () => {
+  const { table, observe } = createTable();
+  observe(limit(2), 0, 100);
+  assert.ok(observe(limit(1), 0, 110));
+  assert.equal(observe(limit(3), 105, 120), false);
   assert.equal(table.limitOf("r"), 1);
-  assert.ok(hear(limit(3), 111, 130));
+  assert.ok(observe(limit(3), 111, 130));
   assert.equal(table.limitOf("r"), 3);
 });
 
-test("what is no number leaves a limit as it was", () => {
-  const { table, hear } = tableOf();
+test("an unreadable header doesn't change the limit", () => {
+  const { table, observe } = createTable();
   const unreadable: LimitHeader = { type: "unreadable", text: "1,4" };
-  assert.equal(hear(unreadable, 0, 10), false);
-  hear(limit(0), 20, 30);
-  assert.equal(hear(unreadable, 40, 50), false);
+  assert.equal(observe(unreadable, 0, 10), false);
+  observe(limit(0), 20, 30);
+  assert.equal(observe(unreadable, 40, 50), false);
   assert.equal(table.limitOf("r"), 0);
 });
 
-test("hosts that are told in any order know the strictest of late", () => {
+test("of records received out of order the strictest recent one applies", () => {
   const table = new LimitTable();
-  const begun = { incarnation: "r", perSecond: 1, at: 5000 };
+  const named = { incarnation: "r", perSecond: 1, at: 5000 };
   const ended = { incarnation: "r", at: 5500 };
-  assert.deepEqual(table.take([begun]), [begun]);
-  assert.deepEqual(table.take([begun]), []);
-  // It may have been under way since before the limit.
+  assert.deepEqual(table.take([named]), [named]);
+  assert.deepEqual(table.take([named]), []);
+  // With its time in transit it may be older than the limit.
   assert.deepEqual(table.take([ended]), []);
   assert.equal(table.limitOf("r"), 1);
   const later = { ...ended, at: 6500 };
   assert.deepEqual(table.take([later]), [later]);
-  // An older word of the limit comes by another way.
-  assert.deepEqual(table.take([begun]), []);
+  // An older record of the limit arrives over another path.
+  assert.deepEqual(table.take([named]), []);
   assert.equal(table.limited, 0);
 });
 
-test("of more replicas than a fleet has the oldest words are forgotten", () => {
+test("beyond the maximum number of replicas the oldest records are evicted", () => {
   const table = new LimitTable();
   for (let at = 0; at < 5000; at++) {
     table.take([{ incarnation: `r${at}`, perSecond: 1, at }]);
--- a/test/gateway/limits/lone_limits.ts
+++ b/test/gateway/limits/lone_limits.ts
@@ -1,13 +1,13 @@
-/** Limits of replicas at a host that has no others beside it. */
+/** The limits of replicas at a host without other hosts. */
 import { systemClock } from "../../../src/gateway/clock.ts";
 import {
   ReplicaLimits,
-  type ReplicaLimitsSource,
+  type ReplicaLimitsOptions,
 } from "../../../src/gateway/limits/replica_limits.ts";
 
-/** A host alone, whose process has run for long. */
+/** Creates the limits of a single host. */
 export function loneLimits(
-  change: Partial<ReplicaLimitsSource> = {},
+  options: Partial<ReplicaLimitsOptions> = {},
 ): ReplicaLimits {
   return new ReplicaLimits({
     self: { id: "host", hall: "hall", run: "1" },
@@ -18,8 +18,8 @@
     hosts: () => [],
     hostCount: () => 1,
     openLink: () => {
-      throw new Error("A lone host has nobody to link to");
+      throw new Error("unexpected link: the fleet has a single host");
     },
-    ...change,
+    ...options,
   });
 }
