--- a/src/gateway/crashes/crash_messages.ts
+++ b/src/gateway/crashes/crash_messages.ts
@@ -1,28 +1,31 @@
-/** How hosts tell each other of crashes: over links, and in rows of the store. */
+/** Messages in which hosts report crashes, over links and in rows of the store. */
 import * as z from "zod";
 import type { Milliseconds } from "../../util/units.ts";
 import type { CrashNews } from "./model.ts";
 
-const Crash = z.object({
+const CrashMessage = z.object({
   fingerprint: z.string(),
   incarnation: z.string(),
-  /** Hosts share no clock. */
+  /** Age of the crash; a duration, since hosts' clocks are not synchronized. */
   agoMs: z.number(),
 });
 
-const Answered = z.object({ fingerprint: z.string(), agoMs: z.number() });
+const AnsweredMessage = z.object({
+  fingerprint: z.string(),
+  agoMs: z.number(),
+});
 
-/** Reads what a host knows of crashes. */
+/** Schema of {@link CrashesMessage}. */
 export const CrashesSchema = z.object({
   type: z.literal("crashes"),
-  crashes: z.array(Crash).readonly(),
-  /** Requests that were answered whole after a crash under them. */
-  answered: z.array(Answered).readonly(),
+  crashes: z.array(CrashMessage).readonly(),
+  /** Requests that got a complete response after a crash. */
+  answered: z.array(AnsweredMessage).readonly(),
 });
-/** What a host knows of crashes. */
+/** Crashes and clearances of a host. */
 export type CrashesMessage = z.output<typeof CrashesSchema>;
 
-/** News as others read it. */
+/** Encodes an update, with ages instead of times. */
 export function encodeCrashes(
   { records, acquittals }: CrashNews,
   now: Milliseconds,
@@ -30,7 +33,10 @@
   const agoMs = (at: Milliseconds) => Math.max(0, Math.round(now - at));
   return {
     type: "crashes",
-    crashes: records.map(({ at, ...one }) => ({ ...one, agoMs: agoMs(at) })),
+    crashes: records.map(({ at, ...record }) => ({
+      ...record,
+      agoMs: agoMs(at),
+    })),
     answered: acquittals.map(({ at, fingerprint }) => ({
       fingerprint,
       agoMs: agoMs(at),
@@ -38,7 +44,7 @@
   };
 }
 
-/** News by this host's clock, of a message that was made `ageMs` ago. */
+/** Decodes a message that was made `ageMs` ago, with times by this host's clock. */
 export function decodeCrashes(
   { crashes, answered }: CrashesMessage,
   now: Milliseconds,
@@ -46,9 +52,12 @@
 ): CrashNews {
   const at = (agoMs: Milliseconds) => now - ageMs - Math.max(0, agoMs);
   return {
-    records: crashes.map(({ agoMs, ...one }) => ({ ...one, at: at(agoMs) })),
-    acquittals: answered.map(({ agoMs, ...one }) => ({
-      ...one,
+    records: crashes.map(({ agoMs, ...crash }) => ({
+      ...crash,
+      at: at(agoMs),
+    })),
+    acquittals: answered.map(({ agoMs, ...clearance }) => ({
+      ...clearance,
       at: at(agoMs),
     })),
   };
--- a/src/gateway/crashes/crash_table.ts
+++ b/src/gateway/crashes/crash_table.ts
@@ -1,18 +1,17 @@
 /**
- * Which requests crash the replicas that run them: a set of (request, crashed
- * replica), the same at all hosts once each has told the others what it has
- * seen. Records merge in any order, and twice without harm. No clock, no
- * network: time is an argument.
+ * Finds the requests that crash replicas, from a set of (request, crashed
+ * replica) records. Merging records is commutative and idempotent, so that all
+ * hosts reach the same result.
  *
- * All that ran at a replica saw the same end, so a request is blamed for those
- * crashes only that no worse one explains: the request with the most crashes is
- * taken first, and its crashes count for nobody else. Replicas that crash in the
- * same moment have a cause in common, which a request is not that ran at one of
- * them only. One that is answered whole is acquitted of all that came before.
+ * All requests that ran at a replica share its crash. The request with the most
+ * crashes is quarantined first, and its crashes no longer count for the others.
+ * Replicas that crash simultaneously are assumed to have a common cause, so their
+ * crashes don't count for requests that ran at only some of them. A complete
+ * response clears a request of its earlier crashes.
  */
 import type { Milliseconds } from "../../util/units.ts";
 import type {
-  Acquittal,
+  Clearance,
   CrashNews,
   CrashRecord,
   CrashRule,
@@ -20,35 +19,30 @@
 } from "./model.ts";
 
 /**
- * Crashes beyond `most` after which also a request is blamed that another
- * accompanied each time. Up to then it is open which of the two it is: the one
- * that is sent again alone shows it.
+ * Additional crashes, beyond `most`, before a request is quarantined that ran
+ * together with another one each time. Until then either may be the cause, and
+ * a retry of only one of them may show which.
  */
-const MORE_IN_COMPANY = 2;
+const EXTRA_CRASHES_IF_AMBIGUOUS = 2;
+/** Replicas that crash within this time of each other crash simultaneously. */
+const SIMULTANEOUS_MS = 50;
+/** Maximum number of requests that are stored. */
+const MAX_REQUESTS = 1000;
 /**
- * Replicas that crash within this time of each other crash together: hosts see
- * those of one cause in a few milliseconds.
+ * Maximum number of crashes that are stored of a request; more don't change the
+ * result. It keeps a message with the full table below a link's limit of 1 MB.
  */
-const TOGETHER_MS = 50;
-/**
- * Requests that are kept. Callers can make requests at will, but each costs a
- * crash: 1,000 are those of fifty replicas with twenty requests each.
- */
-const MOST_REQUESTS = 1000;
-/**
- * Crashes that are kept of one request; more decide nothing. All that is kept is
- * less than 800 KB as a message, so a link that may hold 1 MB takes it.
- */
-const MOST_CRASHES = 8;
+const MAX_CRASHES_PER_REQUEST = 8;
 
+/** A request with recorded crashes. */
 type Suspect = {
-  /** When each replica crashed under the request. */
+  /** When each replica crashed, by incarnation. */
   readonly crashes: Map<string, Milliseconds>;
-  /** Undefined: it was never answered whole since it is suspected. */
+  /** Time of the last complete response, if there was one. */
   answeredAt: Milliseconds | undefined;
 };
 
-/** Requests and the replicas that crashed under them. */
+/** Requests and the replicas that crashed while running them. */
 export class CrashTable {
   #rule: CrashRule;
   readonly #suspects = new Map<string, Suspect>();
@@ -58,66 +52,68 @@
     this.#rule = rule;
   }
 
-  /** Requests of which a crash is known. */
+  /** Number of requests with recorded crashes. */
   get size(): number {
     return this.#suspects.size;
   }
 
-  /** Requests that are sent to no replica. */
+  /** The quarantined requests, by fingerprint. */
   get quarantines(): ReadonlyMap<string, Quarantine> {
     return this.#quarantines;
   }
 
-  /** Puts another rule in force. */
-  change(rule: CrashRule): void {
+  /** Replaces the rule and updates the quarantines. */
+  setRule(rule: CrashRule): void {
     this.#rule = rule;
-    this.#judge();
+    this.#updateQuarantines();
   }
 
-  /** Whether a crash under the request is known. */
+  /** Whether a crash of the request is recorded. */
   has(fingerprint: string): boolean {
     return this.#suspects.has(fingerprint);
   }
 
-  /** Why the request may not be sent; undefined: it may. */
+  /** Returns the request's quarantine, if it is in force. */
   quarantineOf(fingerprint: string, now: Milliseconds): Quarantine | undefined {
     const quarantine = this.#quarantines.get(fingerprint);
     return quarantine && now < quarantine.until ? quarantine : undefined;
   }
 
-  /** Takes what was seen here or elsewhere; gives what of it is news. */
-  take(news: CrashNews, now: Milliseconds): CrashNews {
-    this.#forget(now);
-    const records = news.records.filter((one) => this.#add(one, now));
-    const acquittals = news.acquittals.filter((one) => this.#acquit(one));
-    if (records.length + acquittals.length > 0) this.#judge();
+  /** Merges an update; returns the part of it that changed the table. */
+  take(update: CrashNews, now: Milliseconds): CrashNews {
+    this.#removeExpired(now);
+    const records = update.records.filter((record) => this.#add(record, now));
+    const acquittals = update.acquittals.filter((clearance) =>
+      this.#clear(clearance)
+    );
+    if (records.length + acquittals.length > 0) this.#updateQuarantines();
     return { records, acquittals };
   }
 
-  /** All that is known, for a host that may know nothing. */
+  /** The full table, for a host that has just connected. */
   all(now: Milliseconds): CrashNews {
-    this.#forget(now);
-    return this.#newsOf([...this.#suspects]);
+    this.#removeExpired(now);
+    return this.#updateOf([...this.#suspects]);
   }
 
   /**
-   * What is known of requests under which `least` replicas crashed, of those with
-   * the most first; of `most` requests.
+   * Records and clearances of at most `limit` requests, those with the most
+   * crashes first, and with at least `minCount` of them.
    */
   worst(
-    { least, most }: { readonly least: number; readonly most: number },
+    { minCount, limit }: { readonly minCount: number; readonly limit: number },
     now: Milliseconds,
   ): CrashNews {
-    this.#forget(now);
+    this.#removeExpired(now);
     const entries = [...this.#suspects]
-      .map((one) => ({ one, count: countedOf(one[1]).length }))
-      .filter(({ count }) => count >= least)
+      .map((entry) => ({ entry, count: countedCrashes(entry[1]).length }))
+      .filter(({ count }) => count >= minCount)
       .sort((a, b) => b.count - a.count)
-      .slice(0, most);
-    return this.#newsOf(entries.map(({ one }) => one));
+      .slice(0, limit);
+    return this.#updateOf(entries.map(({ entry }) => entry));
   }
 
-  #newsOf(entries: readonly (readonly [string, Suspect])[]): CrashNews {
+  #updateOf(entries: readonly (readonly [string, Suspect])[]): CrashNews {
     const records = entries.flatMap(([fingerprint, { crashes }]) =>
       [...crashes].map(([incarnation, at]) => ({
         fingerprint,
@@ -136,50 +132,50 @@
     if (now - at >= this.#rule.lifeMs) return false;
     const known = this.#suspects.get(fingerprint);
     if (known?.crashes.has(incarnation)) return false;
-    if (known && known.crashes.size >= MOST_CRASHES) return false;
+    if (known && known.crashes.size >= MAX_CRASHES_PER_REQUEST) return false;
     const suspect = known ?? { crashes: new Map(), answeredAt: undefined };
     suspect.crashes.set(incarnation, at);
     if (known) return true;
     this.#suspects.set(fingerprint, suspect);
-    if (this.#suspects.size > MOST_REQUESTS) this.#dropLeast(fingerprint);
+    if (this.#suspects.size > MAX_REQUESTS) this.#evict(fingerprint);
     return this.#suspects.has(fingerprint);
   }
 
-  /** The oldest of those with the fewest crashes goes, not the newest. */
-  #dropLeast(newest: string): void {
-    let least: string | undefined;
-    let fewest = Infinity;
+  /** Evicts the oldest of the requests with the fewest crashes, but not `newest`. */
+  #evict(newest: string): void {
+    let evicted: string | undefined;
+    let minCrashes = Infinity;
     for (const [fingerprint, { crashes }] of this.#suspects) {
-      if (fingerprint === newest || crashes.size >= fewest) continue;
-      fewest = crashes.size;
-      least = fingerprint;
-      if (fewest === 1) break;
+      if (fingerprint === newest || crashes.size >= minCrashes) continue;
+      minCrashes = crashes.size;
+      evicted = fingerprint;
+      if (minCrashes === 1) break;
     }
-    if (least !== undefined) this.#suspects.delete(least);
+    if (evicted !== undefined) this.#suspects.delete(evicted);
   }
 
-  #acquit({ fingerprint, at }: Acquittal): boolean {
+  #clear({ fingerprint, at }: Clearance): boolean {
     const suspect = this.#suspects.get(fingerprint);
     if (!suspect || at <= (suspect.answeredAt ?? -Infinity)) return false;
-    const before = countedOf(suspect).length;
+    const before = countedCrashes(suspect).length;
     suspect.answeredAt = at;
-    return countedOf(suspect).length < before;
+    return countedCrashes(suspect).length < before;
   }
 
-  /** Requests with enough crashes, and those of them that count. */
-  #candidates(most: number): Map<string, readonly string[]> {
+  /** Requests with at least `minCrashes` crashes, and those that count. */
+  #candidates(minCrashes: number): Map<string, readonly string[]> {
     const found = [...this.#suspects]
-      .filter(([, { crashes }]) => crashes.size >= most);
+      .filter(([, { crashes }]) => crashes.size >= minCrashes);
     if (found.length === 0) return new Map();
     const times = this.#crashTimes();
     return new Map(found.map(([fingerprint, suspect]) => {
-      const counted = countedOf(suspect)
-        .filter((one) => !hasOtherCause(one, suspect, times));
+      const counted = countedCrashes(suspect)
+        .filter((crashed) => !hasCommonCause(crashed, suspect, times));
       return [fingerprint, counted] as const;
     }));
   }
 
-  /** When each replica crashed, as far as is known. */
+  /** The earliest recorded time of each replica's crash. */
   #crashTimes(): Map<string, Milliseconds> {
     const times = new Map<string, Milliseconds>();
     for (const { crashes } of this.#suspects.values()) {
@@ -190,8 +186,8 @@
     return times;
   }
 
-  /** A request is forgotten when no replica has crashed under it for so long. */
-  #forget(now: Milliseconds): void {
+  /** Removes requests whose last crash is older than the TTL. */
+  #removeExpired(now: Milliseconds): void {
     const oldest = now - this.#rule.lifeMs;
     for (const [fingerprint, { crashes }] of this.#suspects) {
       const last = Math.max(...crashes.values());
@@ -199,50 +195,54 @@
     }
   }
 
-  #judge(): void {
+  #updateQuarantines(): void {
     const { most, lifeMs } = this.#rule;
-    const left = this.#candidates(most);
+    const remaining = this.#candidates(most);
     const quarantines = new Map<string, Quarantine>();
     const undecided: (readonly string[])[] = [];
     for (;;) {
-      const worst = worstOf(left, most);
+      const worst = worstOf(remaining, most);
       if (!worst) break;
       const [fingerprint, incarnations] = worst;
-      left.delete(fingerprint);
-      const others = [...left.values(), ...undecided];
+      remaining.delete(fingerprint);
+      const others = [...remaining.values(), ...undecided];
       const isAccompanied = others.some((crashes) =>
-        incarnations.every((one) => crashes.includes(one))
+        incarnations.every((incarnation) => crashes.includes(incarnation))
       );
-      const enough = isAccompanied ? most + MORE_IN_COMPANY : most;
-      if (incarnations.length < enough) {
+      const threshold = isAccompanied
+        ? most + EXTRA_CRASHES_IF_AMBIGUOUS
+        : most;
+      if (incarnations.length < threshold) {
         undecided.push(incarnations);
         continue;
       }
       const times = this.#suspects.get(fingerprint)?.crashes.values() ?? [];
       const until = Math.max(...times) + lifeMs;
       quarantines.set(fingerprint, { incarnations, until });
-      for (const [other, crashes] of left) {
-        const unexplained = crashes.filter((one) =>
-          !incarnations.includes(one)
+      for (const [other, crashes] of remaining) {
+        const unexplained = crashes.filter((incarnation) =>
+          !incarnations.includes(incarnation)
         );
-        left.set(other, unexplained);
+        remaining.set(other, unexplained);
       }
     }
     this.#quarantines = quarantines;
   }
 }
 
-/** The crashes since the request was last answered whole. */
-function countedOf({ crashes, answeredAt = -Infinity }: Suspect): string[] {
+/** The crashes since the request's last complete response. */
+function countedCrashes(
+  { crashes, answeredAt = -Infinity }: Suspect,
+): string[] {
   return [...crashes].filter(([, at]) => at > answeredAt)
     .map(([incarnation]) => incarnation);
 }
 
 /**
- * Another replica crashed together with it, and the request wasn't there: then a
- * cause in common (a rack, a release, an operator) has ended both.
+ * Whether another replica crashed simultaneously that didn't run the request.
+ * Then both are assumed to have a common cause, such as a rack or a release.
  */
-function hasOtherCause(
+function hasCommonCause(
   incarnation: string,
   { crashes }: Suspect,
   times: ReadonlyMap<string, Milliseconds>,
@@ -250,24 +250,24 @@
   const at = times.get(incarnation) ?? 0;
   for (const [other, otherAt] of times) {
     if (crashes.has(other)) continue;
-    if (Math.abs(at - otherAt) <= TOGETHER_MS) return true;
+    if (Math.abs(at - otherAt) <= SIMULTANEOUS_MS) return true;
   }
   return false;
 }
 
-/** The request with the most crashes; at all hosts the same. */
+/** The request with the most crashes; ties are broken the same way at all hosts. */
 function worstOf(
-  left: ReadonlyMap<string, readonly string[]>,
-  least: number,
+  requests: ReadonlyMap<string, readonly string[]>,
+  minCrashes: number,
 ): readonly [string, readonly string[]] | undefined {
   let worst: readonly [string, readonly string[]] | undefined;
-  for (const one of left) {
-    const [fingerprint, { length }] = one;
-    if (length < least) continue;
-    const most = worst?.[1].length ?? 0;
-    const isWorse = length > most ||
-      (length === most && fingerprint < (worst?.[0] ?? ""));
-    if (isWorse) worst = one;
+  for (const request of requests) {
+    const [fingerprint, { length }] = request;
+    if (length < minCrashes) continue;
+    const maxCrashes = worst?.[1].length ?? 0;
+    const isWorse = length > maxCrashes ||
+      (length === maxCrashes && fingerprint < (worst?.[0] ?? ""));
+    if (isWorse) worst = request;
   }
   return worst;
 }
--- a/src/gateway/crashes/crash_watch.ts
+++ b/src/gateway/crashes/crash_watch.ts
@@ -1,8 +1,8 @@
 /**
- * Finds out which requests ran at a replica when it crashed. An answer that
- * breaks off is no crash: connections are reset, answers cut, halls cut off. A
- * replica has crashed if nothing listens at its address right after the break,
- * if it goes from the listing without having left, or if another host says so.
+ * Detects crashes of replicas and the requests that ran there. A truncated
+ * response alone isn't a crash, since connections also break for other reasons.
+ * A replica has crashed if its address refuses connections right afterwards, if
+ * it is removed from the listing without draining, or if another host reports it.
  */
 import type { Milliseconds } from "../../util/units.ts";
 import type { Clock } from "../clock.ts";
@@ -15,140 +15,144 @@
 import type { CrashNews, CrashRule, Quarantine } from "./model.ts";
 
 /**
- * A break that lies longer back was not the crash that a refused connection
- * shows: a probe takes up to 400 ms, and is repeated for breaks meanwhile.
+ * A refused connection explains only sends that broke within this time before
+ * it. It covers a probe and its repetition for sends that broke meanwhile.
  */
 const REFUSED_WINDOW_MS = 1000;
 /**
- * A replica's entry goes after three of its heartbeats (of 1.2 s), and the
- * listing is read each 700 ms: who broke longer ago did not break by its crash.
+ * A removal from the listing explains only sends that broke within this time
+ * before it. It covers three missed heartbeats and the next read of the listing.
  */
-const GONE_WINDOW_MS = 6000;
-/** What a host's row has: 50 requests are at most 40 KB, of 64 KB a row. */
-const WORST = { least: 2, most: 50 };
-/** Replicas of which broken sends are kept, and sends of each. */
-const MOST_REPLICAS = 300;
-const MOST_BREAKS = 100;
+const REMOVED_WINDOW_MS = 6000;
+/** Bounds what a host writes into its row, which is limited to 64 KB. */
+const WORST_BOUNDS = { minCount: 2, limit: 50 };
+/** Maximum number of replicas with stored broken sends, and of sends of each. */
+const MAX_REPLICAS = 300;
+const MAX_BROKEN_SENDS = 100;
 
-/** How a replica is known to have crashed. */
+/** How a crash was detected. */
 type CrashSign = "refused" | "gone" | "told";
 
-/** A send that ended without a whole answer. */
-type Break = {
+/** A send that ended without a complete response. */
+type BrokenSend = {
   readonly fingerprint: string;
   readonly at: Milliseconds;
-  /** The replica's side ended it; else this host did, tired of waiting. */
+  /** Whether the replica's side ended it; otherwise this host timed out. */
   readonly isByReplica: boolean;
-  /** The replica was seen to listen afterwards. */
+  /** Whether a later probe found the replica listening. */
   hasListened: boolean;
 };
 
-/** What is remembered of one start of a replica. */
-type Watched = {
-  breaks: Break[];
-  /** Under way: whether the replica still listens. */
+/** The state of one incarnation of a replica. */
+type WatchedReplica = {
+  brokenSends: BrokenSend[];
+  /** The probe in flight, which checks whether the replica still listens. */
   probing: Promise<void> | undefined;
-  /** When it was found to have crashed. */
+  /** When the crash was detected. */
   crashedAt: Milliseconds | undefined;
 };
 
-/** How a send went wrong. */
+/** How a send ended without a complete response. */
 export type SendBreak = {
   readonly fingerprint: () => string;
   readonly isByReplica: boolean;
 };
 
-/** What a watch is made from. */
-export type CrashWatchSource = {
+/** Options of {@link CrashWatch}. */
+export type CrashWatchOptions = {
   readonly clock: Clock;
   readonly events: EventLog;
   readonly metrics: Pick<Metrics, "count">;
   readonly rule: CrashRule;
-  /** Whether a replica's end is planned. */
+  /** Whether a replica is draining, so that its end is planned. */
   readonly isLeaving: (entry: ReplicaEntry) => boolean;
-  /** Whether something listens at an address. */
+  /** Checks whether a process listens at an address. */
   readonly probe: (address: string) => Promise<ProbeResult>;
 };
 
-/** Told what is news here; `from` is whom it came from, if not this host. */
-export type CrashListener = (news: CrashNews, from: unknown) => void;
+/**
+ * Called with updates that are new to this host; `from` is the sender, undefined
+ * when this host detected the crash.
+ */
+export type CrashListener = (update: CrashNews, from: unknown) => void;
 
-/** The crashes that this host knows of. */
+/** Detects crashes, and decides which requests are quarantined. */
 export class CrashWatch {
-  readonly #source: CrashWatchSource;
+  readonly #options: CrashWatchOptions;
   readonly #table: CrashTable;
-  readonly #watched = new Map<string, Watched>();
+  readonly #watched = new Map<string, WatchedReplica>();
   readonly #listeners: CrashListener[] = [];
   #rule: CrashRule;
 
-  constructor(source: CrashWatchSource) {
-    this.#source = source;
-    this.#rule = source.rule;
-    this.#table = new CrashTable(source.rule);
+  constructor(options: CrashWatchOptions) {
+    this.#options = options;
+    this.#rule = options.rule;
+    this.#table = new CrashTable(options.rule);
   }
 
-  /** Requests of which a crash is known. */
+  /** Number of requests with recorded crashes. */
   get suspects(): number {
     return this.#table.size;
   }
 
-  /** Requests that are sent to no replica. */
+  /** Number of quarantined requests. */
   get quarantined(): number {
     return this.#table.quarantines.size;
   }
 
-  /** Puts another rule in force. */
+  /** Replaces the rule and updates the quarantines. */
   change(rule: CrashRule): void {
     this.#rule = rule;
-    this.#table.change(rule);
+    this.#table.setRule(rule);
   }
 
-  /** Calls `listener` with all that becomes known. */
+  /** Calls `listener` with each update. */
   listen(listener: CrashListener): void {
     this.#listeners.push(listener);
   }
 
-  /** Why the request may not be sent to a replica; undefined: it may. */
+  /** Returns the request's quarantine, if it is in force. */
   quarantineOf(fingerprint: () => string): Quarantine | undefined {
     if (this.#table.quarantines.size === 0) return undefined;
-    return this.#table.quarantineOf(fingerprint(), this.#source.clock.now());
+    return this.#table.quarantineOf(fingerprint(), this.#options.clock.now());
   }
 
   /**
-   * Resolves when it is known whether the replicas at which the request broke
-   * have crashed, where that may decide whether it is sent again after `sends`
-   * sends. It takes one way there and back; 400 ms where nobody answers.
+   * Waits for the probes of the replicas at which the request broke, if their
+   * results may decide whether it is sent again after `sends` sends.
    */
   async settled(fingerprint: () => string, sends: number): Promise<void> {
     const mayDecide = sends >= this.#rule.most - 1 ||
       (this.#table.size > 0 && this.#table.has(fingerprint()));
     if (!mayDecide) return;
-    const name = fingerprint();
+    const key = fingerprint();
     const probes = [...this.#watched.values()]
-      .filter(({ breaks }) => breaks.some((one) => one.fingerprint === name))
-      .map((one) => one.probing);
+      .filter(({ brokenSends }) =>
+        brokenSends.some((send) => send.fingerprint === key)
+      )
+      .map((watched) => watched.probing);
     await Promise.all(probes);
   }
 
-  /** The request was answered whole by a replica. */
+  /** Clears the request: a replica returned a complete response. */
   answered(fingerprint: () => string): void {
     if (this.#table.size === 0 || !this.#table.has(fingerprint())) return;
-    const at = this.#source.clock.now();
+    const at = this.#options.clock.now();
     const acquittals = [{ fingerprint: fingerprint(), at }];
     this.take({ records: [], acquittals }, undefined);
   }
 
-  /** A send to the replica ended without a whole answer. */
+  /** Records that a send to the replica ended without a complete response. */
   sendBroke(
     entry: ReplicaEntry,
     { fingerprint, isByReplica }: SendBreak,
   ): void {
-    if (this.#source.isLeaving(entry)) return;
-    const now = this.#source.clock.now();
-    const watched = this.#watch(entry.incarnation);
-    dropBefore(watched, now - GONE_WINDOW_MS);
-    if (watched.breaks.length >= MOST_BREAKS) return;
-    watched.breaks.push({
+    if (this.#options.isLeaving(entry)) return;
+    const now = this.#options.clock.now();
+    const watched = this.#watchedOf(entry.incarnation);
+    removeBefore(watched, now - REMOVED_WINDOW_MS);
+    if (watched.brokenSends.length >= MAX_BROKEN_SENDS) return;
+    watched.brokenSends.push({
       fingerprint: fingerprint(),
       at: now,
       isByReplica,
@@ -156,98 +160,107 @@
     });
     const sinceCrash = now - (watched.crashedAt ?? -Infinity);
     if (sinceCrash <= REFUSED_WINDOW_MS) {
-      return this.#crashed(entry.incarnation, "told");
+      return this.#noteCrash(entry.incarnation, "told");
     }
     if (isByReplica) watched.probing ??= this.#probe(entry, watched);
   }
 
-  /** Nothing listens at the replica's address. */
+  /** Records that the replica's address refused a connection. */
   refused(entry: ReplicaEntry): void {
-    if (this.#source.isLeaving(entry)) return;
-    this.#crashed(entry.incarnation, "refused");
+    if (this.#options.isLeaving(entry)) return;
+    this.#noteCrash(entry.incarnation, "refused");
   }
 
-  /** The listing has it no more. */
+  /** Records that the replica was removed from the listing. */
   gone(entry: ReplicaEntry): void {
     const { incarnation } = entry;
-    if (!this.#source.isLeaving(entry)) this.#crashed(incarnation, "gone");
+    if (!this.#options.isLeaving(entry)) this.#noteCrash(incarnation, "gone");
     this.#watched.delete(incarnation);
   }
 
-  /** Takes what another host knows, or what was found out here. */
-  take(news: CrashNews, from: unknown): void {
+  /** Merges an update of another host, or of this host if `from` is undefined. */
+  take(update: CrashNews, from: unknown): void {
     const before = this.#table.quarantines;
-    const fresh = this.#table.take(news, this.#source.clock.now());
-    if (fresh.records.length + fresh.acquittals.length === 0) return;
+    const changes = this.#table.take(update, this.#options.clock.now());
+    if (changes.records.length + changes.acquittals.length === 0) return;
     this.#noteChange(before);
-    for (const listener of this.#listeners) listener(fresh, from);
+    for (const listener of this.#listeners) listener(changes, from);
     if (from === undefined) return;
-    const told = new Set(fresh.records.map((one) => one.incarnation));
-    for (const one of told) this.#crashed(one, "told");
+    const crashed = new Set(
+      changes.records.map((record) => record.incarnation),
+    );
+    for (const incarnation of crashed) this.#noteCrash(incarnation, "told");
   }
 
-  /** All that is known, for a host that may know nothing. */
+  /** All records and clearances, for a host that has just connected. */
   all(): CrashNews {
-    return this.#table.all(this.#source.clock.now());
+    return this.#table.all(this.#options.clock.now());
   }
 
-  /** What is known of requests under which several replicas crashed. */
+  /** Records and clearances of the requests with the most crashes. */
   worst(): CrashNews {
-    return this.#table.worst(WORST, this.#source.clock.now());
+    return this.#table.worst(WORST_BOUNDS, this.#options.clock.now());
   }
 
-  async #probe(entry: ReplicaEntry, watched: Watched): Promise<void> {
-    const { clock, probe, metrics } = this.#source;
+  async #probe(entry: ReplicaEntry, watched: WatchedReplica): Promise<void> {
+    const { clock, probe, metrics } = this.#options;
     for (;;) {
       const startedAt = clock.now();
       const result = await probe(entry.address);
       metrics.count(`crash_probes_${result}`);
       if (result === "refused") this.refused(entry);
       if (result !== "listens") break;
-      for (const one of watched.breaks) {
-        if (one.at <= startedAt) one.hasListened = true;
+      for (const send of watched.brokenSends) {
+        if (send.at <= startedAt) send.hasListened = true;
       }
-      const isOpen = watched.breaks.some((one) => isUnseen(one));
-      if (!isOpen) break;
+      const isPending = watched.brokenSends.some((send) => isUnexplained(send));
+      if (!isPending) break;
     }
     watched.probing = undefined;
   }
 
-  /** Records who ran at a replica that has crashed. */
-  #crashed(incarnation: string, sign: CrashSign): void {
+  /** Records the requests that ran at a replica that has crashed. */
+  #noteCrash(incarnation: string, sign: CrashSign): void {
     const watched = this.#watched.get(incarnation);
     if (!watched) return;
-    const now = this.#source.clock.now();
+    const now = this.#options.clock.now();
     watched.crashedAt = now;
-    const ran = watched.breaks.filter((one) => ranAtEnd(one, sign, now));
+    const ran = watched.brokenSends.filter((send) =>
+      mayHaveRunAtCrash(send, sign, now)
+    );
     if (ran.length === 0) return;
-    watched.breaks = [];
+    watched.brokenSends = [];
     const records = ran.map(({ fingerprint, at }) => ({
       fingerprint,
       incarnation,
       at,
     }));
-    this.#source.metrics.count("replica_crashes");
-    this.#source.events.note("replicaCrashed", {
+    this.#options.metrics.count("replica_crashes");
+    this.#options.events.note("replicaCrashed", {
       replica: incarnation,
       sign,
       requests: records.length,
-      fingerprints: records.slice(0, 4).map((one) => one.fingerprint).join(),
+      fingerprints: records.slice(0, 4).map((record) => record.fingerprint)
+        .join(),
     });
     this.take({ records, acquittals: [] }, undefined);
   }
 
-  #watch(incarnation: string): Watched {
+  #watchedOf(incarnation: string): WatchedReplica {
     const known = this.#watched.get(incarnation);
     if (known) return known;
-    forgetOldest(this.#watched, MOST_REPLICAS - 1);
-    const watched = { breaks: [], probing: undefined, crashedAt: undefined };
+    forgetOldest(this.#watched, MAX_REPLICAS - 1);
+    const watched = {
+      brokenSends: [],
+      probing: undefined,
+      crashedAt: undefined,
+    };
     this.#watched.set(incarnation, watched);
     return watched;
   }
 
   #noteChange(before: ReadonlyMap<string, Quarantine>): void {
-    const { events } = this.#source;
+    const { events } = this.#options;
     const { quarantines } = this.#table;
     for (const [fingerprint, { incarnations }] of quarantines) {
       if (before.has(fingerprint)) continue;
@@ -261,17 +274,21 @@
   }
 }
 
-/** The replica's side ended the send, and it was not seen to listen since. */
-function isUnseen({ isByReplica, hasListened }: Break): boolean {
+/** Whether the replica's side ended the send and no probe found it listening. */
+function isUnexplained({ isByReplica, hasListened }: BrokenSend): boolean {
   return isByReplica && !hasListened;
 }
 
-/** Whether the send may have ended by the crash that the sign tells of. */
-function ranAtEnd(one: Break, sign: CrashSign, now: Milliseconds): boolean {
-  if (sign === "gone") return now - one.at <= GONE_WINDOW_MS;
-  return isUnseen(one) && now - one.at <= REFUSED_WINDOW_MS;
+/** Whether the send may have broken by the detected crash. */
+function mayHaveRunAtCrash(
+  send: BrokenSend,
+  sign: CrashSign,
+  now: Milliseconds,
+): boolean {
+  if (sign === "gone") return now - send.at <= REMOVED_WINDOW_MS;
+  return isUnexplained(send) && now - send.at <= REFUSED_WINDOW_MS;
 }
 
-function dropBefore(watched: Watched, oldest: Milliseconds): void {
-  watched.breaks = watched.breaks.filter((one) => one.at > oldest);
+function removeBefore(watched: WatchedReplica, oldest: Milliseconds): void {
+  watched.brokenSends = watched.brokenSends.filter((send) => send.at > oldest);
 }
--- a/src/gateway/crashes/fingerprint.ts
+++ b/src/gateway/crashes/fingerprint.ts
@@ -1,34 +1,33 @@
-/** Names what a caller sends, so that it is known when it comes again. */
+/** Fingerprints of requests, by which retries of a request are recognized. */
 import { createHash } from "node:crypto";
 
-/** Hex digits of a fingerprint: 128 bits, so that no two requests share one. */
+/** Hex digits of a fingerprint: 128 bits, to make collisions negligible. */
 const DIGITS = 32;
 
-/** What makes two requests the same; a caller's id differs at each try. */
-export type FingerprintSource = {
+/** The parts of a request that make it the same request; ids differ per retry. */
+export type FingerprintInput = {
   readonly method: string;
   readonly host: string;
   /** Path and query. */
   readonly target: string;
-  /** Absent where callers have no names. */
+  /** Undefined where callers are not identified. */
   readonly customer: string | undefined;
   readonly body: Buffer;
 };
 
-/** The fingerprint of a request. */
-export function fingerprintOf(source: FingerprintSource): string {
-  const { method, host, target, customer = "", body } = source;
-  // As JSON, so that no two lists of parts make the same text.
-  const head = JSON.stringify([method, host, target, customer]);
-  return createHash("sha256").update(head).update(body).digest("hex")
+export function fingerprintOf(input: FingerprintInput): string {
+  const { method, host, target, customer = "", body } = input;
+  // Encoded as JSON, so that different parts never yield the same text.
+  const prefix = JSON.stringify([method, host, target, customer]);
+  return createHash("sha256").update(prefix).update(body).digest("hex")
     .slice(0, DIGITS);
 }
 
 /**
- * Works a fingerprint out when it is first asked for: most requests are never
- * part of a crash, and a body of 4 MB takes milliseconds to hash.
+ * Computes a fingerprint on first use, since hashing a large body is expensive
+ * and the fingerprints of most requests are never needed.
  */
-export function lazyFingerprint(source: FingerprintSource): () => string {
+export function lazyFingerprint(input: FingerprintInput): () => string {
   let known: string | undefined;
-  return () => known ??= fingerprintOf(source);
+  return () => known ??= fingerprintOf(input);
 }
--- a/src/gateway/crashes/model.ts
+++ b/src/gateway/crashes/model.ts
@@ -1,40 +1,40 @@
-/** What is known of requests under which replicas crashed. */
+/** Records of requests that ran at crashed replicas. */
 import type { Milliseconds } from "../../util/units.ts";
 
-/** A request that ran at a replica when that replica crashed. */
+/** A request that ran at a replica when the replica crashed. */
 export type CrashRecord = {
-  /** Names the request, whoever sends it and however often. */
+  /** Identifies the request over all retries. */
   readonly fingerprint: string;
-  /** The start of the replica that crashed. */
+  /** The incarnation of the replica that crashed. */
   readonly incarnation: string;
   /** By this host's clock. */
   readonly at: Milliseconds;
 };
 
-/** A request that was answered whole: no earlier crash is laid to it. */
-export type Acquittal = {
+/** A request that got a complete response: its earlier crashes don't count. */
+export type Clearance = {
   readonly fingerprint: string;
   /** By this host's clock. */
   readonly at: Milliseconds;
 };
 
-/** What one host knows and another may not. */
+/** Records and clearances that one host reports to another. */
 export type CrashNews = {
   readonly records: readonly CrashRecord[];
-  readonly acquittals: readonly Acquittal[];
+  readonly acquittals: readonly Clearance[];
 };
 
-/** Why a request is sent to no replica. */
+/** Why a request is not sent to any replica. */
 export type Quarantine = {
-  /** The replicas that crashed under it. */
+  /** The replicas that crashed while they ran the request. */
   readonly incarnations: readonly string[];
   readonly until: Milliseconds;
 };
 
-/** Bounds of the quarantine, from the settings. */
+/** Settings of the quarantine. */
 export type CrashRule = {
-  /** Crashes after which a request is sent to no further replica. */
+  /** Number of crashes after which a request is quarantined. */
   readonly most: number;
-  /** How long a crash is remembered, and so a request is refused. */
+  /** TTL of crash records, and thus of a quarantine. */
   readonly lifeMs: Milliseconds;
 };
--- a/test/gateway/crashes/crash_fleet_test.ts
+++ b/test/gateway/crashes/crash_fleet_test.ts
@@ -1,7 +1,6 @@
 /**
- * What one host has seen of a crash is known by all, in virtual time: over the
- * links between hosts, by a host that joins later, by a hall that was cut off,
- * and over the store by hosts that no link reaches.
+ * Crashes that one host detects reach all hosts, in virtual time: over links,
+ * after a restart or a partition, and over the store where no link is open.
  */
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -9,12 +8,12 @@
 import { type FleetHost, StateFleet } from "../state/state_fleet.ts";
 
 const FORMED_MS = 10_000;
-/** Three of the ways between hosts, their gathering, and a probe. */
-const TOLD_MS = 100;
-/** A row is written within a second of a crash and read each four. */
+/** Maximum time for an update to reach all hosts: a probe, batching and three hops. */
+const PROPAGATED_MS = 100;
+/** Maximum time for an update to reach hosts over rows of the store. */
 const ROWS_MS = 7000;
 
-/** A replica crashes under the request at a host. */
+/** A host detects that a replica crashed while it ran the request. */
 function crash(host: FleetHost, fingerprint: string, replica: string): void {
   host.context.crashes.sendBroke(replicaEntry(replica), {
     fingerprint: () => fingerprint,
@@ -22,66 +21,69 @@
   });
 }
 
-function holdBack(hosts: readonly FleetHost[], fingerprint: string): number {
+function countQuarantined(
+  hosts: readonly FleetHost[],
+  fingerprint: string,
+): number {
   return hosts.filter(({ context }) =>
     context.crashes.quarantineOf(() => fingerprint) !== undefined
   ).length;
 }
 
 for (const size of [1, 3, 9, 30]) {
-  test(`three crashes at ${size} hosts are known by all`, async () => {
+  test(`three crashes at ${size} hosts quarantine a request at all hosts`, async () => {
     const fleet = new StateFleet(size, size);
     await fleet.runTo(FORMED_MS);
     const at = (index: number) => fleet.hosts[index % size] as FleetHost;
-    crash(at(0), "guilty", "a");
-    crash(at(1), "guilty", "b");
-    await fleet.runTo(FORMED_MS + TOLD_MS);
-    assert.equal(holdBack(fleet.hosts, "guilty"), 0);
-    crash(at(size - 1), "guilty", "c");
-    crash(at(size - 1), "beside", "c");
-    await fleet.runTo(FORMED_MS + 2 * TOLD_MS);
-    assert.equal(holdBack(fleet.hosts, "guilty"), size);
-    assert.equal(holdBack(fleet.hosts, "beside"), 0);
+    crash(at(0), "crashing", "a");
+    crash(at(1), "crashing", "b");
+    await fleet.runTo(FORMED_MS + PROPAGATED_MS);
+    assert.equal(countQuarantined(fleet.hosts, "crashing"), 0);
+    crash(at(size - 1), "crashing", "c");
+    crash(at(size - 1), "concurrent", "c");
+    await fleet.runTo(FORMED_MS + 2 * PROPAGATED_MS);
+    assert.equal(countQuarantined(fleet.hosts, "crashing"), size);
+    assert.equal(countQuarantined(fleet.hosts, "concurrent"), 0);
   });
 }
 
-test("crashes that three hosts see in the same moment are known by all", async () => {
+test("crashes that three hosts detect simultaneously reach all hosts", async () => {
   const fleet = new StateFleet(9, 4);
   await fleet.runTo(FORMED_MS);
   for (const [index, replica] of ["a", "b", "c"].entries()) {
-    crash(fleet.hosts[index * 3] as FleetHost, "guilty", replica);
+    crash(fleet.hosts[index * 3] as FleetHost, "crashing", replica);
   }
-  await fleet.runTo(FORMED_MS + TOLD_MS);
-  assert.equal(holdBack(fleet.hosts, "guilty"), 9);
+  await fleet.runTo(FORMED_MS + PROPAGATED_MS);
+  assert.equal(countQuarantined(fleet.hosts, "crashing"), 9);
 });
 
-test("a request that is answered whole at one host is acquitted at all", async () => {
+test("a complete response at one host clears a request at all hosts", async () => {
   const fleet = new StateFleet(9, 5);
   await fleet.runTo(FORMED_MS);
-  const [one, two] = fleet.hosts as [FleetHost, FleetHost];
-  for (const replica of ["a", "b"]) crash(one, "beside", replica);
-  await fleet.runTo(FORMED_MS + TOLD_MS);
-  two.context.crashes.answered(() => "beside");
-  await fleet.runTo(FORMED_MS + 2 * TOLD_MS);
-  crash(one, "beside", "c");
-  await fleet.runTo(FORMED_MS + 3 * TOLD_MS);
-  assert.equal(holdBack(fleet.hosts, "beside"), 0);
+  const [first, second] = fleet.hosts as [FleetHost, FleetHost];
+  for (const replica of ["a", "b"]) crash(first, "concurrent", replica);
+  await fleet.runTo(FORMED_MS + PROPAGATED_MS);
+  second.context.crashes.answered(() => "concurrent");
+  await fleet.runTo(FORMED_MS + 2 * PROPAGATED_MS);
+  crash(first, "concurrent", "c");
+  await fleet.runTo(FORMED_MS + 3 * PROPAGATED_MS);
+  assert.equal(countQuarantined(fleet.hosts, "concurrent"), 0);
 });
 
-test("a host that starts anew learns from its reader what all others know", async () => {
+test("a host that starts receives the known crashes from its reader", async () => {
   const fleet = new StateFleet(9, 6);
   await fleet.runTo(FORMED_MS);
-  const host = fleet.hosts.find((one) =>
-    fleet.roleOf(one) === "follower"
+  const host = fleet.hosts.find((candidate) =>
+    fleet.roleOf(candidate) === "follower"
   ) as FleetHost;
-  for (const replica of ["a", "b", "c"]) crash(host, "guilty", replica);
-  await fleet.runTo(FORMED_MS + TOLD_MS);
+  for (const replica of ["a", "b", "c"]) crash(host, "crashing", replica);
+  await fleet.runTo(FORMED_MS + PROPAGATED_MS);
   const added = fleet.add();
   await fleet.runTo(FORMED_MS + 4000);
-  assert.equal(holdBack([added], "guilty"), 1);
+  assert.equal(countQuarantined([added], "crashing"), 1);
 });
 
-test("a hall that was cut off knows what crashed elsewhere when it is back", async () => {
+test("a partitioned hall receives crashes of other halls when it reconnects", async () => {
   const fleet = new StateFleet(9, 7);
   await fleet.runTo(FORMED_MS);
   const isInside = ({ entry }: FleetHost) => entry.hall === "hall-1";
@@ -89,42 +91,42 @@
   fleet.cut((from, to) => isInside(from) !== isInside(to));
   for (const { entry } of inside) fleet.store.treat(entry.id, "silent");
   await fleet.runTo(FORMED_MS + 5000);
-  const outside = fleet.hosts.filter((one) => !isInside(one));
+  const outside = fleet.hosts.filter((host) => !isInside(host));
   for (const replica of ["a", "b", "c"]) {
-    crash(outside[0] as FleetHost, "guilty", replica);
+    crash(outside[0] as FleetHost, "crashing", replica);
   }
   await fleet.runTo(FORMED_MS + 6000);
-  assert.equal(holdBack(fleet.hosts, "guilty"), outside.length);
+  assert.equal(countQuarantined(fleet.hosts, "crashing"), outside.length);
   fleet.cut(() => false);
   for (const { entry } of inside) fleet.store.treat(entry.id, "served");
   await fleet.runTo(FORMED_MS + 10_000);
-  assert.equal(holdBack(fleet.hosts, "guilty"), 9);
+  assert.equal(countQuarantined(fleet.hosts, "crashing"), 9);
 });
 
-test("halls that reach the store and not each other learn of crashes by it", async () => {
+test("halls that reach the store but not each other exchange crashes over it", async () => {
   const fleet = new StateFleet(9, 8);
   await fleet.runTo(FORMED_MS);
   fleet.cut((from, to) => from.entry.hall !== to.entry.hall);
   await fleet.runTo(FORMED_MS + 8000);
   for (const [index, replica] of ["a", "b", "c"].entries()) {
     const hall = `hall-${index % 2}`;
-    const host = fleet.hosts.find((one) => one.entry.hall === hall);
-    crash(host as FleetHost, "guilty", replica);
+    const host = fleet.hosts.find((candidate) => candidate.entry.hall === hall);
+    crash(host as FleetHost, "crashing", replica);
   }
   await fleet.runTo(FORMED_MS + 8000 + ROWS_MS);
-  assert.equal(holdBack(fleet.hosts, "guilty"), 9);
+  assert.equal(countQuarantined(fleet.hosts, "crashing"), 9);
 });
 
-test("what all hosts knew outlives them in the store", async () => {
+test("a host that starts alone reads crashes from the store", async () => {
   const fleet = new StateFleet(3, 9);
   await fleet.runTo(FORMED_MS);
   for (const replica of ["a", "b", "c"]) {
-    crash(fleet.hosts[0] as FleetHost, "guilty", replica);
+    crash(fleet.hosts[0] as FleetHost, "crashing", replica);
   }
   await fleet.runTo(FORMED_MS + 2000);
-  // Nobody answers the host that starts then, as if all had been killed.
+  // No other host responds to the started host, as after a crash of all.
   fleet.cut((from, to) => from !== to);
   const added = fleet.add();
   await fleet.runTo(FORMED_MS + 2500);
-  assert.equal(holdBack([added], "guilty"), 1);
+  assert.equal(countQuarantined([added], "crashing"), 1);
 });
--- a/test/gateway/crashes/crash_table_test.ts
+++ b/test/gateway/crashes/crash_table_test.ts
@@ -1,11 +1,11 @@
-/** Which requests are blamed for crashes; pure, by property and by case. */
+/** Which requests are quarantined after which crashes. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import * as fc from "fast-check";
 import { CrashTable } from "../../../src/gateway/crashes/crash_table.ts";
 import { encodeCrashes } from "../../../src/gateway/crashes/crash_messages.ts";
 import type {
-  Acquittal,
+  Clearance,
   CrashNews,
   CrashRecord,
 } from "../../../src/gateway/crashes/model.ts";
@@ -18,26 +18,26 @@
   return { fingerprint, incarnation, at };
 }
 
-function news(
+function updateOf(
   records: readonly CrashRecord[],
-  acquittals: readonly Acquittal[] = [],
+  acquittals: readonly Clearance[] = [],
 ): CrashNews {
   return { records, acquittals };
 }
 
-/** The requests that are sent to no replica after these crashes. */
-function blamed(...records: readonly CrashRecord[]): string[] {
+/** The requests that are quarantined after these crashes. */
+function quarantined(...records: readonly CrashRecord[]): string[] {
   const table = new CrashTable(RULE);
-  table.take(news(records), NOW);
+  table.take(updateOf(records), NOW);
   return [...table.quarantines.keys()].sort();
 }
 
-/** Far from each other, by the replica's name. */
+/** Distinct crash times by replica, too far apart to be simultaneous. */
 function timeOf(incarnation: string): number {
   return (incarnation.codePointAt(0) ?? 0) * 100;
 }
 
-/** Crashes of several replicas, one by one, each under the same requests. */
+/** Crashes of several replicas, one after another, that ran the same requests. */
 function crashes(
   incarnations: readonly string[],
   ...fingerprints: readonly string[]
@@ -49,97 +49,103 @@
   );
 }
 
-test("a request is blamed from its third crash on", () => {
-  assert.deepEqual(blamed(...crashes(["a", "b"], "guilty")), []);
-  assert.deepEqual(blamed(...crashes(["a", "b", "c"], "guilty")), ["guilty"]);
+test("a request is quarantined after its third crash", () => {
+  assert.deepEqual(quarantined(...crashes(["a", "b"], "crashing")), []);
+  assert.deepEqual(quarantined(...crashes(["a", "b", "c"], "crashing")), [
+    "crashing",
+  ]);
 });
 
-test("the same crash told twice counts once", () => {
+test("the same crash reported twice counts once", () => {
   const twice = [...crashes(["a", "b"], "g"), ...crashes(["a", "b"], "g")];
-  assert.deepEqual(blamed(...twice), []);
+  assert.deepEqual(quarantined(...twice), []);
 });
 
-test("what ran beside a worse request at each of its crashes isn't blamed", () => {
+test("a request isn't quarantined if a worse one explains all of its crashes", () => {
   const records = [
-    ...crashes(["a", "b", "c"], "guilty", "beside"),
-    ...crashes(["d"], "guilty", "other"),
+    ...crashes(["a", "b", "c"], "crashing", "concurrent"),
+    ...crashes(["d"], "crashing", "other"),
   ];
-  assert.deepEqual(blamed(...records), ["guilty"]);
+  assert.deepEqual(quarantined(...records), ["crashing"]);
 });
 
-test("replicas that crash in the same moment are laid to none that ran at one", () => {
-  const together = ["a", "b", "c"].flatMap((one, at) => [
-    crash("r", one, at * 1000),
-    crash(`other ${at}`, `${one}2`, at * 1000 + 3),
+test("simultaneous crashes don't count for requests that ran at only one replica", () => {
+  const together = ["a", "b", "c"].flatMap((replica, index) => [
+    crash("r", replica, index * 1000),
+    crash(`other ${index}`, `${replica}2`, index * 1000 + 3),
   ]);
-  assert.deepEqual(blamed(...together), []);
-  const apart = together.map((one) =>
-    one.fingerprint === "r" ? one : { ...one, at: one.at + 100 }
+  assert.deepEqual(quarantined(...together), []);
+  const apart = together.map((record) =>
+    record.fingerprint === "r" ? record : { ...record, at: record.at + 100 }
   );
-  assert.deepEqual(blamed(...apart), ["r"]);
+  assert.deepEqual(quarantined(...apart), ["r"]);
 });
 
-test("two replicas that a request crashes in the same moment both count", () => {
+test("simultaneous crashes of replicas that ran the same request all count", () => {
   const records = [crash("g", "a", 0), crash("g", "b", 2), crash("g", "c", 9)];
-  assert.deepEqual(blamed(...records), ["g"]);
+  assert.deepEqual(quarantined(...records), ["g"]);
 });
 
-test("crashes that no worse request explains are laid to a request", () => {
+test("a request is quarantined for crashes that no worse request explains", () => {
   const records = [
-    ...crashes(["a", "b", "c", "d"], "guilty"),
-    ...crashes(["a", "e", "f", "g"], "too"),
+    ...crashes(["a", "b", "c", "d"], "crashing"),
+    ...crashes(["a", "e", "f", "g"], "crashing too"),
   ];
-  assert.deepEqual(blamed(...records), ["guilty", "too"]);
+  assert.deepEqual(quarantined(...records), ["crashing", "crashing too"]);
 });
 
-test("which of two that always crashed together it was stays open for two more", () => {
-  assert.deepEqual(blamed(...crashes(["a", "b", "c"], "x", "y")), []);
-  assert.deepEqual(blamed(...crashes(["a", "b", "c", "d"], "x", "y")), []);
+test("requests that always ran together need two more crashes", () => {
+  assert.deepEqual(quarantined(...crashes(["a", "b", "c"], "x", "y")), []);
+  assert.deepEqual(quarantined(...crashes(["a", "b", "c", "d"], "x", "y")), []);
   const alone = [...crashes(["a", "b", "c"], "x", "y"), ...crashes(["d"], "y")];
-  assert.deepEqual(blamed(...alone), ["y"]);
+  assert.deepEqual(quarantined(...alone), ["y"]);
   const five = ["a", "b", "c", "d", "e"];
-  assert.equal(blamed(...crashes(five, "x", "y")).length, 1);
+  assert.equal(quarantined(...crashes(five, "x", "y")).length, 1);
 });
 
-test("a request that is answered whole is acquitted of what came before", () => {
+test("a complete response clears a request of its earlier crashes", () => {
   const table = new CrashTable(RULE);
-  table.take(news(crashes(["a", "b", "c"], "g")), NOW);
+  table.take(updateOf(crashes(["a", "b", "c"], "g")), NOW);
   assert.ok(table.quarantineOf("g", NOW));
-  table.take(news([], [{ fingerprint: "g", at: timeOf("c") + 1 }]), NOW);
+  table.take(updateOf([], [{ fingerprint: "g", at: timeOf("c") + 1 }]), NOW);
   assert.equal(table.quarantineOf("g", NOW), undefined);
-  table.take(news(crashes(["d", "e"], "g")), NOW);
+  table.take(updateOf(crashes(["d", "e"], "g")), NOW);
   assert.equal(table.quarantineOf("g", NOW), undefined);
-  table.take(news(crashes(["f"], "g")), NOW);
+  table.take(updateOf(crashes(["f"], "g")), NOW);
   assert.deepEqual(table.quarantineOf("g", NOW)?.incarnations, ["d", "e", "f"]);
 });
 
-test("a request may be sent again some time after its last crash", () => {
+test("a quarantine ends when the TTL of the last crash expires", () => {
   const table = new CrashTable(RULE);
-  const records = ["a", "b", "c"].map((one, at) => crash("g", one, at * 1000));
-  table.take(news(records), 2000);
+  const records = ["a", "b", "c"].map((replica, index) =>
+    crash("g", replica, index * 1000)
+  );
+  table.take(updateOf(records), 2000);
   assert.equal(table.quarantineOf("g", 61_999)?.until, 62_000);
   assert.equal(table.quarantineOf("g", 62_000), undefined);
   assert.equal(table.all(62_000).records.length, 0);
 });
 
-test("a table stays bounded, and keeps those with the most crashes", () => {
+test("a table is bounded and keeps the requests with the most crashes", () => {
   const table = new CrashTable(RULE);
-  table.take(news(crashes(["a", "b", "c"], "guilty")), 0);
+  table.take(updateOf(crashes(["a", "b", "c"], "crashing")), 0);
   for (let at = 0; at < 5000; at++) {
-    table.take(news([crash(`r${at}`, "d")]), 0);
+    table.take(updateOf([crash(`r${at}`, "d")]), 0);
   }
   assert.equal(table.size, 1000);
-  assert.ok(table.quarantineOf("guilty", 0));
+  assert.ok(table.quarantineOf("crashing", 0));
   const many = Array.from(
     { length: 100 },
-    (_, at) => crash("guilty", `i${at}`),
+    (_, at) => crash("crashing", `i${at}`),
   );
-  table.take(news(many), 0);
+  table.take(updateOf(many), 0);
   const all = table.all(0).records;
-  assert.ok(all.filter((one) => one.fingerprint === "guilty").length <= 8);
+  assert.ok(
+    all.filter((record) => record.fingerprint === "crashing").length <= 8,
+  );
 });
 
-test("what is told of a full table fits a link and a row", () => {
+test("messages of a full table fit a link and a row", () => {
   const table = new CrashTable(RULE);
   const incarnations = Array.from(
     { length: 8 },
@@ -147,12 +153,12 @@
   );
   for (let at = 0; at < 1000; at++) {
     const fingerprint = String(at).padStart(32, "0");
-    table.take(news(crashes(incarnations, fingerprint)), NOW);
+    table.take(updateOf(crashes(incarnations, fingerprint)), NOW);
   }
-  const sizeOf = (told: CrashNews) =>
-    JSON.stringify(encodeCrashes(told, NOW)).length;
+  const sizeOf = (update: CrashNews) =>
+    JSON.stringify(encodeCrashes(update, NOW)).length;
   assert.ok(sizeOf(table.all(NOW)) < 1 << 20);
-  const worst = table.worst({ least: 2, most: 50 }, NOW);
+  const worst = table.worst({ minCount: 2, limit: 50 }, NOW);
   assert.equal(worst.records.length, 400);
   assert.ok(sizeOf(worst) < 48 * 1024);
 });
@@ -167,40 +173,40 @@
   fingerprint: Fingerprint,
   at: fc.integer({ min: 0, max: 5000 }),
 });
-const Told = fc.record({
+const Update = fc.record({
   records: fc.array(Record, { maxLength: 6 }),
   acquittals: fc.array(Answer, { maxLength: 1 }),
 });
 
-test("hosts that were told the same crashes, in any order and more than once, agree", () => {
+test("hosts that receive the same crashes in any order, and more than once, agree", () => {
   fc.assert(
     fc.property(
-      fc.array(Told, { maxLength: 8 }),
+      fc.array(Update, { maxLength: 8 }),
       fc.array(fc.nat(), { maxLength: 16 }),
-      (told, picks) => {
-        // One time a crash, as each has: only the order of telling is drawn.
+      (received, picks) => {
+        // Each crash has a single time; only the order of updates is random.
         const times = new Map<string, number>();
-        const unified = told.map(({ records, acquittals }) =>
-          news(
-            records.map((one) => {
-              const key = `${one.fingerprint} ${one.incarnation}`;
-              const at = times.get(key) ?? one.at;
+        const updates = received.map(({ records, acquittals }) =>
+          updateOf(
+            records.map((record) => {
+              const key = `${record.fingerprint} ${record.incarnation}`;
+              const at = times.get(key) ?? record.at;
               times.set(key, at);
-              return { ...one, at };
+              return { ...record, at };
             }),
             acquittals,
           )
         );
-        // An acquittal means something to those only that know the request.
-        const first = news(unified.flatMap((one) => one.records));
-        const answers = unified.flatMap((one) => one.acquittals);
-        const shuffled = [...unified].sort((a, b) =>
-          (picks[unified.indexOf(a)] ?? 0) - (picks[unified.indexOf(b)] ?? 0)
+        // A clearance has no effect at hosts without a record of the request.
+        const first = updateOf(updates.flatMap((update) => update.records));
+        const answers = updates.flatMap((update) => update.acquittals);
+        const shuffled = [...updates].sort((a, b) =>
+          (picks[updates.indexOf(a)] ?? 0) - (picks[updates.indexOf(b)] ?? 0)
         );
         const here = new CrashTable(RULE);
         const there = new CrashTable(RULE);
-        here.take(news(first.records, answers), NOW);
-        for (const one of [...shuffled, ...unified]) there.take(one, NOW);
+        here.take(updateOf(first.records, answers), NOW);
+        for (const update of [...shuffled, ...updates]) there.take(update, NOW);
         assert.deepEqual(
           [...there.quarantines.keys()].sort(),
           [...here.quarantines.keys()].sort(),
@@ -210,11 +216,11 @@
   );
 });
 
-test("whoever runs alone at three crashes is blamed, whatever ran elsewhere", () => {
+test("a request that runs alone at three crashes is always quarantined", () => {
   fc.assert(
     fc.property(fc.array(Record, { maxLength: 30 }), (records) => {
-      const alone = crashes(["x", "y", "z"], "guilty");
-      assert.ok(blamed(...records, ...alone).includes("guilty"));
+      const alone = crashes(["x", "y", "z"], "crashing");
+      assert.ok(quarantined(...records, ...alone).includes("crashing"));
     }),
   );
 });
--- a/test/gateway/crashes/crash_watch_test.ts
+++ b/test/gateway/crashes/crash_watch_test.ts
@@ -1,4 +1,4 @@
-/** When a break of an answer is a crash of its replica. */
+/** When a truncated response counts as a crash of its replica. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { CrashWatch } from "../../../src/gateway/crashes/crash_watch.ts";
@@ -9,7 +9,7 @@
 const ENTRY = replicaEntry("a");
 const fingerprintOf = (name: string) => () => name;
 
-/** A watch in virtual time; probes take 2 ms. */
+/** Creates a watch in virtual time; probes take 2 ms. */
 function start(answer: () => ProbeResult) {
   const time = new VirtualTime();
   const probes: string[] = [];
@@ -29,12 +29,13 @@
   const breaks = (name: string, isByReplica = true, entry = ENTRY) =>
     watch.sendBroke(entry, { fingerprint: fingerprintOf(name), isByReplica });
   const crashed = () =>
-    watch.all().records.map((one) => `${one.fingerprint} ${one.incarnation}`)
+    watch.all().records
+      .map((record) => `${record.fingerprint} ${record.incarnation}`)
       .sort();
   return { time, probes, watch, breaks, crashed };
 }
 
-test("all whose answers broke where nothing listens any more ran at a crash", async () => {
+test("requests whose responses broke at a replica that no longer listens ran at its crash", async () => {
   const { time, probes, breaks, crashed } = start(() => "refused");
   breaks("one");
   breaks("two");
@@ -44,7 +45,7 @@
   assert.deepEqual(crashed(), ["one a", "three a", "two a"]);
 });
 
-test("an answer that broke off at a replica which listens is no crash", async () => {
+test("a truncated response of a replica that still listens is no crash", async () => {
   const { time, watch, breaks, crashed } = start(() => "listens");
   breaks("one");
   await time.runTo(10);
@@ -52,27 +53,27 @@
   assert.deepEqual(crashed(), []);
 });
 
-test("a replica that nobody answers from tells nothing", async () => {
+test("a probe without a response is no evidence of a crash", async () => {
   const { time, breaks, crashed } = start(() => "silent");
   breaks("one");
   await time.runTo(500);
   assert.deepEqual(crashed(), []);
 });
 
-test("a replica that goes from the listing soon after has crashed", async () => {
+test("a replica that is removed from the listing soon after a broken send has crashed", async () => {
   for (const result of ["silent", "listens"] as const) {
     const { time, watch, breaks, crashed } = start(() => result);
     breaks("long ago");
     await time.runTo(10_000);
     breaks("one");
-    breaks("nobody answered", false);
+    breaks("timed out", false);
     await time.runTo(13_000);
     watch.gone(ENTRY);
-    assert.deepEqual(crashed(), ["nobody answered a", "one a"], result);
+    assert.deepEqual(crashed(), ["one a", "timed out a"], result);
   }
 });
 
-test("a replica that leaves as planned has not crashed", async () => {
+test("a draining replica that ends has not crashed", async () => {
   const { time, probes, watch, breaks, crashed } = start(() => "refused");
   const leaving = { ...ENTRY, leaving: true };
   breaks("one", true, leaving);
@@ -81,7 +82,7 @@
   assert.deepEqual([probes.length, crashed()], [0, []]);
 });
 
-test("what another host tells of a replica holds for sends of this host", async () => {
+test("a crash reported by another host applies to broken sends of this host", async () => {
   const { time, watch, breaks, crashed } = start(() => "silent");
   breaks("one");
   await time.runTo(10);
@@ -90,7 +91,7 @@
   assert.deepEqual(crashed(), ["one a", "other a"]);
 });
 
-test("breaks while a probe is under way are looked into by the next", async () => {
+test("sends that break during a probe are checked by the next probe", async () => {
   let result: ProbeResult = "listens";
   const { time, probes, breaks, crashed } = start(() => result);
   breaks("one");
@@ -103,7 +104,7 @@
   assert.deepEqual(crashed(), ["two a"]);
 });
 
-test("a request waits for the verdict only where it may decide", async () => {
+test("a request waits for probes only if their result may decide", async () => {
   const { time, watch, breaks } = start(() => "refused");
   const settled: string[] = [];
   const wait = (name: string, sends: number) =>
@@ -117,7 +118,7 @@
   assert.deepEqual(settled, ["one 1 at 1", "one 2 at 2"]);
 });
 
-test("what is kept of breaks is bounded", () => {
+test("the number of stored broken sends is bounded", () => {
   const { watch, breaks, crashed } = start(() => "silent");
   for (let at = 0; at < 1000; at++) breaks(`r${at}`);
   for (let at = 0; at < 1000; at++) {
--- a/test/gateway/crashes/crashing_request_test.ts
+++ b/test/gateway/crashes/crashing_request_test.ts
@@ -1,16 +1,6 @@
 /**
- * A request that crashes the replicas that run it is not sent to one after
- * another; what merely ran beside it is served.
- *
- * What was seen: one request, sent again and again by its caller, each time under
- * another id and at another host, ended ten replicas in ten seconds, and with
- * them the answers of all that ran there.
- * How it came about: each try was a new request to its host, which gave it to
- * the next sound replica.
- * The cause: what is known of a request ended with its exchange, and a replica's
- * crash was taken for a connection that broke, one failure of that replica.
- * What proved it: ten tries with the same method, path and body, one send each,
- * at seven hosts; a replica came anew at the address where each of them broke.
+ * A caller's retries of a request that crashes replicas must not crash one
+ * replica after another, and concurrent requests must still be served.
  */
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -28,13 +18,13 @@
 const CRASHING = "crashes its replica";
 const REPLICAS = 8;
 const TRIES = 7;
-/** The retry budget never ends a test. */
+/** A retry budget that is never exhausted. */
 const BUDGET = { ratio: 0, extra: 1000 };
-/** Crashes after which a request is sent to no further replica. */
-const MOST_CRASHES = 3;
+/** Number of crashes after which a request is quarantined. */
+const MAX_CRASHES = 3;
 
-/** Answers all but the crashing request, which ends the replica. */
-function fragile(at: number, rigOf: () => Rig | undefined): RawAnswer {
+/** Responds to all requests but the crashing one, which stops the replica. */
+function crashingAnswer(at: number, rigOf: () => Rig | undefined): RawAnswer {
   return (request, socket) => {
     if (request.body !== CRASHING) {
       const isReserve = request.path === "/reserve";
@@ -47,16 +37,16 @@
   };
 }
 
-/** The listing lacks the replicas that have ended, as after some seconds. */
-function delistEnded({ context: { replicas }, replicas: all }: Rig): void {
-  const ended = all.filter((one) => one.requests.some(isCrash));
-  const addresses = new Set(ended.map((one) => one.address));
+/** Removes crashed replicas from the listing, as the platform does after some seconds. */
+function unlistCrashed({ context: { replicas }, replicas: all }: Rig): void {
+  const crashed = all.filter((replica) => replica.requests.some(isCrash));
+  const addresses = new Set(crashed.map((replica) => replica.address));
   const entries = replicas.entries()
-    .filter((one) => !addresses.has(one.address));
+    .filter((entry) => !addresses.has(entry.address));
   replicas.adopt({ revision: replicas.revision + 1, entries });
 }
 
-/** More than a prompt that was read. */
+/** Whether the request crashes its replica; a prefill alone doesn't. */
 function isCrash({ body, headers }: RawRequest): boolean {
   return body === CRASHING && headers.get("x-mode") !== "prefill";
 }
@@ -70,12 +60,12 @@
   stage?: ReplicaStage,
 ): RigReplica[] {
   return Array.from({ length: REPLICAS }, (_, at) => ({
-    answer: fragile(at, rigOf),
+    answer: crashingAnswer(at, rigOf),
     ...(stage === undefined ? {} : { stage }),
   }));
 }
 
-const PLAIN = "a request that crashes its replicas is sent to three at most";
+const PLAIN = "a request that crashes its replicas is sent to at most three";
 test(PLAIN, knownRed(PLAIN), async () => {
   for (const kind of ["unsafe", "safe"] as const) {
     let rig: Rig | undefined;
@@ -90,15 +80,15 @@
         const other = { id: `o${at}`, method: "POST", body: `other ${at}` };
         assert.equal((await rig.call(other)).status, 200);
       }
-      assert.equal(crashesOf(rig), MOST_CRASHES, kind);
+      assert.equal(crashesOf(rig), MAX_CRASHES, kind);
     });
   }
 });
 
-const STREAM = "a stream that crashes its replicas goes on at two more at most";
+const STREAM = "a stream that crashes its replicas is resumed at most twice";
 test(STREAM, knownRed(STREAM), async () => {
   let rig: Rig | undefined;
-  const reads: RawAnswer = (request, socket) => {
+  const prefills: RawAnswer = (request, socket) => {
     socket.write(whole(request, '{"export":"e"}'));
   };
   await withRig({
@@ -107,7 +97,7 @@
     route: { kind: "streaming", resumable: true, attempts: 4 },
     replicas: [
       ...makeReplicas(() => rig, ReplicaStage.decode),
-      { answer: reads, stage: ReplicaStage.prefill },
+      { answer: prefills, stage: ReplicaStage.prefill },
     ],
   }, async (started) => {
     rig = started;
@@ -115,26 +105,33 @@
     for (let at = 0; at < TRIES; at++) {
       const id = `t${at}`;
       await rig.call({ id, method: "POST", body: CRASHING, headers });
-      delistEnded(rig);
+      unlistCrashed(rig);
     }
-    assert.equal(crashesOf(rig), MOST_CRASHES);
+    assert.equal(crashesOf(rig), MAX_CRASHES);
   });
 });
 
-test("a request whose answers are cut off by sound replicas is tried again", async () => {
-  let cuts = 0;
-  const cuts6: RawAnswer = (request, socket) => {
-    if (cuts++ >= 6) return void socket.write(whole(request, "answer"));
+test("truncated responses of healthy replicas don't quarantine a request", async () => {
+  let truncated = 0;
+  const truncatesSix: RawAnswer = (request, socket) => {
+    if (truncated++ >= 6) return void socket.write(whole(request, "answer"));
     socket.end(chunkedHead(request) + chunk("part"));
   };
   await withRig({
     route: { kind: "unsafe" },
-    replicas: Array.from({ length: REPLICAS }, () => ({ answer: cuts6 })),
+    replicas: Array.from(
+      { length: REPLICAS },
+      () => ({ answer: truncatesSix }),
+    ),
   }, async (rig) => {
     const statuses: number[] = [];
     for (let at = 0; at < 7; at++) {
-      const seen = await rig.call({ id: `t${at}`, method: "POST", body: "b" });
-      statuses.push(seen.status);
+      const response = await rig.call({
+        id: `t${at}`,
+        method: "POST",
+        body: "b",
+      });
+      statuses.push(response.status);
     }
     assert.deepEqual(statuses, [502, 502, 502, 502, 502, 502, 200]);
   });
--- a/test/gateway/crashes/fingerprint_test.ts
+++ b/test/gateway/crashes/fingerprint_test.ts
@@ -1,14 +1,14 @@
-/** A request is known again by what it asks, not by its caller's id. */
+/** Fingerprints depend on the content of a request, not on its id. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import {
+  type FingerprintInput,
   fingerprintOf,
-  type FingerprintSource,
 } from "../../../src/gateway/crashes/fingerprint.ts";
 import { whole } from "../raw_replica.ts";
 import { withRig } from "../rig.ts";
 
-const REQUEST: FingerprintSource = {
+const REQUEST: FingerprintInput = {
   method: "POST",
   host: "example",
   target: "/a/b",
@@ -16,8 +16,8 @@
   body: Buffer.from("text"),
 };
 
-test("requests that differ in any part have fingerprints of their own", () => {
-  const others: Partial<FingerprintSource>[] = [
+test("requests that differ in any part have different fingerprints", () => {
+  const others: Partial<FingerprintInput>[] = [
     { method: "PUT" },
     { host: "example.org" },
     { target: "/a/c" },
@@ -26,12 +26,12 @@
     { body: Buffer.from("texts") },
     { target: "/a/bt", body: Buffer.from("ext") },
   ];
-  const prints = others.map((one) => fingerprintOf({ ...REQUEST, ...one }));
+  const prints = others.map((other) => fingerprintOf({ ...REQUEST, ...other }));
   const all = new Set([fingerprintOf(REQUEST), ...prints]);
   assert.equal(all.size, others.length + 1);
 });
 
-test("two tries whose answers break off are logged under one fingerprint", async () => {
+test("retries with truncated responses are logged with the same fingerprint", async () => {
   await withRig({
     route: { kind: "unsafe" },
     replicas: [{
@@ -43,12 +43,14 @@
     await rig.call({ id: "first", method: "POST", body: "text" });
     await rig.call({ id: "second", method: "POST", body: "text" });
     await rig.call({ id: "third", method: "POST", body: "another" });
-    const told = rig.events.filter(({ name }) => name === "failed")
+    const failures = rig.events.filter(({ name }) => name === "failed")
       .map(({ fields }) => fields as Record<string, unknown>);
-    const [first, second, third] = told.map((one) => one["fingerprint"]);
-    assert.equal(told.length, 3);
+    const [first, second, third] = failures.map((fields) =>
+      fields["fingerprint"]
+    );
+    assert.equal(failures.length, 3);
     assert.equal(first, second);
     assert.notEqual(first, third);
-    assert.equal(told[0]?.["replica"], "r0");
+    assert.equal(failures[0]?.["replica"], "r0");
   });
 });
--- a/test/gateway/crashes/quiet_watch.ts
+++ b/test/gateway/crashes/quiet_watch.ts
@@ -1,14 +1,14 @@
-/** A watch of crashes for tests in which no replica crashes. */
+/** Crash detection for tests in which no replica crashes. */
 import { systemClock } from "../../../src/gateway/clock.ts";
 import type { News } from "../../../src/gateway/state/fleet_news.ts";
 import { CrashWatch } from "../../../src/gateway/crashes/crash_watch.ts";
 
-/** Shares nothing. */
+/** An update exchange that sends nothing. */
 export function quietNews(): News {
   return { greet: () => undefined, take: () => undefined };
 }
 
-/** A watch that knows of nothing; every replica listens. */
+/** A watch without records; every replica listens. */
 export function quietWatch(): CrashWatch {
   return new CrashWatch({
     clock: systemClock,
