--- a/src/gateway/crashes/crash_table.ts
+++ b/src/gateway/crashes/crash_table.ts
@@ -19,9 +19,9 @@
 } from "./model.ts";
 
 /**
- * Additional crashes, beyond `most`, before a request is quarantined that ran
- * together with another one each time. Until then either may be the cause, and
- * a retry of only one of them may show which.
+ * Additional crashes before a request is quarantined that ran together with
+ * another one each time. Until then either may be the cause, and a retry of only
+ * one of them may show which.
  */
 const EXTRA_CRASHES_IF_AMBIGUOUS = 2;
 /** Replicas that crash within this time of each other crash simultaneously. */
@@ -196,12 +196,12 @@
   }
 
   #updateQuarantines(): void {
-    const { most, lifeMs } = this.#rule;
-    const remaining = this.#candidates(most);
+    const { most: minCrashes, lifeMs: retentionMs } = this.#rule;
+    const remaining = this.#candidates(minCrashes);
     const quarantines = new Map<string, Quarantine>();
     const undecided: (readonly string[])[] = [];
     for (;;) {
-      const worst = worstOf(remaining, most);
+      const worst = worstOf(remaining, minCrashes);
       if (!worst) break;
       const [fingerprint, incarnations] = worst;
       remaining.delete(fingerprint);
@@ -210,14 +210,14 @@
         incarnations.every((incarnation) => crashes.includes(incarnation))
       );
       const threshold = isAccompanied
-        ? most + EXTRA_CRASHES_IF_AMBIGUOUS
-        : most;
+        ? minCrashes + EXTRA_CRASHES_IF_AMBIGUOUS
+        : minCrashes;
       if (incarnations.length < threshold) {
         undecided.push(incarnations);
         continue;
       }
       const times = this.#suspects.get(fingerprint)?.crashes.values() ?? [];
-      const until = Math.max(...times) + lifeMs;
+      const until = Math.max(...times) + retentionMs;
       quarantines.set(fingerprint, { incarnations, until });
       for (const [other, crashes] of remaining) {
         const unexplained = crashes.filter((incarnation) =>
@@ -264,9 +264,9 @@
   for (const request of requests) {
     const [fingerprint, { length }] = request;
     if (length < minCrashes) continue;
-    const maxCrashes = worst?.[1].length ?? 0;
-    const isWorse = length > maxCrashes ||
-      (length === maxCrashes && fingerprint < (worst?.[0] ?? ""));
+    const worstLength = worst?.[1].length ?? 0;
+    const isWorse = length > worstLength ||
+      (length === worstLength && fingerprint < (worst?.[0] ?? ""));
     if (isWorse) worst = request;
   }
   return worst;
