--- a/src/gateway/callers/body.ts
+++ b/src/gateway/callers/body.ts
@@ -1,40 +1,39 @@
-/** Reads a caller's body whole, up to a limit. */
+/** Reads the body of a caller's request, up to a size limit. */
 import type { IncomingMessage } from "node:http";
 
-/** How the reading of a body ended. */
-export type BodyReading =
+/** Outcome of reading a body. */
+export type BodyReadResult =
   | { readonly type: "whole"; readonly body: Buffer }
   | { readonly type: "tooLarge" }
-  /** The caller went away before its end. */
+  /** The caller disconnected before the end of the body. */
   | { readonly type: "gone" };
 
-/** How a body is read. */
-export type BodyRule = {
-  /** Most bytes. */
-  readonly limit: number;
-  /** False: the bytes are dropped as they come. */
-  readonly isKept: boolean;
+/** Options of {@link readCallerBody}. */
+export type BodyReadOptions = {
+  readonly maxBytes: number;
+  /** False: the bytes are read and discarded. */
+  readonly isRetained: boolean;
 };
 
-/** Reads the body; stops at the limit. */
+/** Reads the body; pauses the request once the body exceeds `maxBytes`. */
 export function readCallerBody(
   request: IncomingMessage,
-  { limit, isKept }: BodyRule,
-): Promise<BodyReading> {
+  { maxBytes, isRetained }: BodyReadOptions,
+): Promise<BodyReadResult> {
   return new Promise((resolve) => {
-    const parts: Buffer[] = [];
+    const chunks: Buffer[] = [];
     let size = 0;
-    request.on("data", (part: Buffer) => {
-      size += part.length;
-      if (size <= limit) {
-        if (isKept) parts.push(part);
+    request.on("data", (chunk: Buffer) => {
+      size += chunk.length;
+      if (size <= maxBytes) {
+        if (isRetained) chunks.push(chunk);
         return;
       }
       request.pause();
       resolve({ type: "tooLarge" });
     });
     request.on("end", () => {
-      resolve({ type: "whole", body: Buffer.concat(parts) });
+      resolve({ type: "whole", body: Buffer.concat(chunks) });
     });
     request.on("error", () => resolve({ type: "gone" }));
     request.on("close", () => resolve({ type: "gone" }));
--- a/src/gateway/callers/quota_hold.ts
+++ b/src/gateway/callers/quota_hold.ts
@@ -1,4 +1,4 @@
-/** Takes what a request costs of its customer's quota. */
+/** Acquires the quota units that a request costs its customer. */
 import type { Milliseconds } from "../../util/units.ts";
 import { GatewayError } from "../answers.ts";
 import { type Clock, sleep } from "../clock.ts";
@@ -7,25 +7,25 @@
 import type { GatewayRequest } from "../requests/request.ts";
 
 /**
- * A request that could be on time waits for its units up to this part of its
- * objective; a longer wait would leave too little for the answer.
+ * Longest wait for units, as a share of the route's objective. A longer wait
+ * would leave too little time for the response.
  */
-const WAIT_SHARE = 1 / 4;
+const MAX_WAIT_SHARE = 1 / 4;
 
-/** What a hold is taken from. */
-export type QuotaHoldSource = {
+/** Options of {@link acquireQuota}. */
+export type QuotaAcquisitionOptions = {
   readonly clock: Clock;
   readonly quotas: Pick<QuotaMember, "take">;
-  /** Version of the configuration that has the quota. */
+  /** Version of the configuration that defines the quota. */
   readonly version: number;
 };
 
-/** The units are held, or why they are not. */
-export type QuotaHold =
+/** Outcome of acquiring units. */
+export type QuotaAcquisition =
   | {
     readonly type: "held";
-    /** The request did not run. */
-    giveBack(): void;
+    /** Returns the units of a request that did not run. */
+    release(): void;
   }
   | {
     readonly type: "refused";
@@ -33,14 +33,14 @@
     readonly retryAfterMs?: Milliseconds;
   };
 
-const FREE: QuotaHold = { type: "held", giveBack: () => undefined };
+const NO_QUOTA: QuotaAcquisition = { type: "held", release: () => undefined };
 
-/** Takes a request's units, after a wait where one is needed. */
-export async function takeQuotaHold(
-  { clock, quotas, version }: QuotaHoldSource,
+/** Acquires the units of a request and waits until they are available. */
+export async function acquireQuota(
+  { clock, quotas, version }: QuotaAcquisitionOptions,
   { customer, facts, route }: GatewayRequest,
-): Promise<QuotaHold> {
-  if (!customer?.quota) return FREE;
+): Promise<QuotaAcquisition> {
+  if (!customer?.quota) return NO_QUOTA;
   const { name, quota } = customer;
   const { perSecond, burst } = quota;
   const units = quotaUnits(quota, facts);
@@ -49,7 +49,7 @@
     units,
     rate: { perSecond, burst },
     version,
-    mostWaitMs: route.objectiveMs * WAIT_SHARE,
+    mostWaitMs: route.objectiveMs * MAX_WAIT_SHARE,
   });
   switch (outcome.type) {
     case "unknown":
@@ -60,6 +60,6 @@
     }
     case "granted":
       if (outcome.afterMs > 0) await sleep(clock, outcome.afterMs);
-      return { type: "held", giveBack: () => outcome.giveBack() };
+      return { type: "held", release: () => outcome.giveBack() };
   }
 }
--- a/src/gateway/callers/reply.ts
+++ b/src/gateway/callers/reply.ts
@@ -1,72 +1,73 @@
-/** The caller's side of an answer, over Node's server response. */
+/** Implements {@link Reply} on Node's `ServerResponse`. */
 import type { ServerResponse } from "node:http";
 import { GATEWAY_ANSWERS, type GatewayError } from "../answers.ts";
 import { answerHeaders } from "../http/headers.ts";
 import type { Dialect } from "../port.ts";
 import type { Reply } from "../requests/request.ts";
 
-/** What a reply needs to know of its host. */
-export type ReplySource = {
+/** Options of {@link createReply}. */
+export type ReplyOptions = {
   readonly response: ServerResponse;
   readonly dialect: Pick<Dialect, "endToEndHeaders" | "retryAfterHeader">;
-  /** The caller should not use this connection again. */
-  lastOnConnection(): boolean;
+  /** Whether the connection is to be closed after this response. */
+  shouldCloseConnection(): boolean;
 };
 
-/** Makes the reply to one request. */
-export function createReply(source: ReplySource): Reply {
-  const { response } = source;
+/** Creates the reply to one request. */
+export function createReply(options: ReplyOptions): Reply {
+  const { response } = options;
   return {
-    head: (status, rawHeaders) => sendHead(source, status, rawHeaders),
+    head: (status, rawHeaders) => sendHeaders(options, status, rawHeaders),
     write: (bytes) => response.write(bytes),
-    drained: () => drained(response),
+    drained: () => waitForDrain(response),
     end: () => {
       response.end();
     },
     fail: (error, retryAfterSeconds) =>
-      sendFailure(source, error, retryAfterSeconds),
+      sendError(options, error, retryAfterSeconds),
     breakOff: () => {
       response.destroy();
     },
   };
 }
 
-function sendHead(
-  source: ReplySource,
+function sendHeaders(
+  options: ReplyOptions,
   status: number,
   rawHeaders: readonly string[],
 ): void {
-  const { response, dialect } = source;
+  const { response, dialect } = options;
   if (response.headersSent || response.destroyed) return;
   response.sendDate = false;
-  if (source.lastOnConnection()) response.shouldKeepAlive = false;
+  if (options.shouldCloseConnection()) response.shouldKeepAlive = false;
   const headers = answerHeaders(rawHeaders, dialect.endToEndHeaders);
   response.writeHead(status, headers);
   response.flushHeaders();
 }
 
-function drained(response: ServerResponse): Promise<void> {
+/** Resolves when the write buffer has drained or the connection has closed. */
+function waitForDrain(response: ServerResponse): Promise<void> {
   return new Promise((resolve) => {
     response.once("drain", resolve);
     response.once("close", resolve);
   });
 }
 
-function sendFailure(
-  source: ReplySource,
+function sendError(
+  options: ReplyOptions,
   error: GatewayError,
   retryAfterSeconds?: number,
 ): void {
-  const { response, dialect: { retryAfterHeader } } = source;
+  const { response, dialect: { retryAfterHeader } } = options;
   if (response.headersSent || response.destroyed) return;
   const answer = GATEWAY_ANSWERS[error];
-  const comeBack = retryAfterSeconds ?? answer.retryAfterSeconds;
+  const seconds = retryAfterSeconds ?? answer.retryAfterSeconds;
   const body = JSON.stringify({ error, message: answer.message });
-  if (source.lastOnConnection()) response.shouldKeepAlive = false;
+  if (options.shouldCloseConnection()) response.shouldKeepAlive = false;
   response.writeHead(answer.status, {
     "Content-Type": "application/json",
     "Content-Length": String(Buffer.byteLength(body)),
-    ...(comeBack === undefined ? {} : { [retryAfterHeader]: String(comeBack) }),
+    ...(seconds === undefined ? {} : { [retryAfterHeader]: String(seconds) }),
     ...(answer.challenge === undefined
       ? {}
       : { "WWW-Authenticate": answer.challenge }),
--- a/src/gateway/callers/server.ts
+++ b/src/gateway/callers/server.ts
@@ -1,4 +1,7 @@
-/** The callers' side: reads requests, finds their routes, opens exchanges. */
+/**
+ * HTTP server for callers: reads requests, checks their route, key and quota,
+ * and starts an exchange for each accepted request.
+ */
 import {
   createServer,
   type IncomingMessage,
@@ -21,87 +24,89 @@
 import { pickTarget } from "../routing/route_table.ts";
 import { readCallerBody } from "./body.ts";
 import {
-  type QuotaHold,
-  type QuotaHoldSource,
-  takeQuotaHold,
+  acquireQuota,
+  type QuotaAcquisition,
+  type QuotaAcquisitionOptions,
 } from "./quota_hold.ts";
 import { createReply } from "./reply.ts";
 
-/** Largest head of a request; the configuration's limit is lower. */
-const HEAD_BYTES = 64 * 1024;
-/** Body limit before a configuration is known. */
-const FIRST_BODY_BYTES = 4 << 20;
+const MAX_HEADER_BYTES = 64 * 1024;
+/** Body limit that applies until a configuration has been received. */
+const DEFAULT_BODY_LIMIT_BYTES = 4 << 20;
 /**
- * A stream that may take longer than what is left of the grace is not begun:
- * the longest take some five seconds.
+ * While this host stops, it refuses requests to model engines when less of its
+ * grace period is left than the longest streams take.
  */
-const STREAM_MS = 5300;
-const PLAIN_MS = 1000;
-const FINISH_CHECK_MS = 50;
+const MIN_STREAM_TIME_LEFT_MS = 5300;
+/** As {@link MIN_STREAM_TIME_LEFT_MS}, for requests to plain services. */
+const MIN_PLAIN_TIME_LEFT_MS = 1000;
+const CLOSE_CHECK_INTERVAL_MS = 50;
 
-/** A request that may go on, by its head. */
-type TakenIntake = {
+/** A request that its headers allow to proceed. */
+type AcceptedHeaders = {
   readonly type: "taken";
   readonly route: Route;
   readonly facts: RequestFacts;
   readonly customer: Customer | undefined;
 };
-type Intake =
-  | TakenIntake
+/** Result of checking the headers of a request. */
+type HeaderCheck =
+  | AcceptedHeaders
   | { readonly type: "refused"; readonly error: GatewayError };
 
-/** What the callers' side is made from. */
+/** Options of {@link CallerServer}. */
 export type CallerServerSource = {
   readonly context: GatewayContext;
   readonly places: Places;
   readonly admission: AdmissionSource;
-  readonly quotas: QuotaHoldSource["quotas"];
+  readonly quotas: QuotaAcquisitionOptions["quotas"];
 };
 
-/** The callers' side of a gateway. */
+/** The HTTP server of a gateway that receives the requests of callers. */
 export class CallerServer {
   readonly server: Server;
   readonly #context: GatewayContext;
-  readonly #places: Places;
+  readonly #planner: Places;
   readonly #admission: AdmissionSource;
-  readonly #quotas: QuotaHoldSource["quotas"];
-  readonly #open = new Set<Exchange>();
-  #reading = 0;
+  readonly #quotas: QuotaAcquisitionOptions["quotas"];
+  readonly #exchanges = new Set<Exchange>();
+  /** Requests that are being read or wait for quota units. */
+  #pendingCount = 0;
 
-  constructor(source: CallerServerSource) {
-    const { context, places, admission, quotas } = source;
+  constructor(options: CallerServerSource) {
+    const { context, places: planner, admission, quotas } = options;
     this.#context = context;
-    this.#places = places;
+    this.#planner = planner;
     this.#admission = admission;
     this.#quotas = quotas;
     this.server = createServer(
-      { maxHeaderSize: HEAD_BYTES },
+      { maxHeaderSize: MAX_HEADER_BYTES },
       (request, response) => void this.#serve(request, response),
     );
     this.server.requestTimeout = 0;
   }
 
-  /** Requests that are not ended. */
+  /** Number of requests in progress. */
   get open(): number {
-    return this.#open.size + this.#reading;
+    return this.#exchanges.size + this.#pendingCount;
   }
 
-  /** Puts the limits of a new configuration in force. */
+  /** Applies the limits of a new configuration. */
   applyLimits(limits: CallerLimits): void {
     this.server.keepAliveTimeout = limits.idleMs;
     this.server.headersTimeout = limits.headerMs;
   }
 
   /**
-   * Takes no new connections, closes those at rest, and waits until the
-   * others have ended; what comes on them meanwhile is served.
+   * Stops accepting connections, closes idle ones, and waits until `deadline`
+   * for the others to close. Requests that arrive on them are still served.
    */
-  async finish(clock: Clock, lastAt: Milliseconds): Promise<void> {
-    let closed = false;
-    this.server.close(() => closed = true);
-    while (!closed && clock.now() < lastAt) {
+  async finish(clock: Clock, deadline: Milliseconds): Promise<void> {
+    let isClosed = false;
+    this.server.close(() => isClosed = true);
+    while (!isClosed && clock.now() < deadline) {
       this.server.closeIdleConnections();
-      await sleep(clock, FINISH_CHECK_MS);
+      await sleep(clock, CLOSE_CHECK_INTERVAL_MS);
     }
   }
 
@@ -112,60 +117,63 @@
     const { clock, routes, dialect, metrics, stop } = this.#context;
     const receivedAt = clock.now();
     metrics.count("requests");
-    const early = this.#intake(incoming);
-    const limit = routes.config?.limits.bodyBytes ?? FIRST_BODY_BYTES;
-    this.#reading += 1;
+    const firstCheck = this.#checkHeaders(incoming);
+    const maxBytes = routes.config?.limits.bodyBytes ??
+      DEFAULT_BODY_LIMIT_BYTES;
+    this.#pendingCount += 1;
     const reading = await readCallerBody(incoming, {
-      limit,
-      // Nothing is held for a caller who is refused by the head already.
-      isKept: early.type === "taken",
+      maxBytes,
+      // The body of a request that its headers already refuse is discarded.
+      isRetained: firstCheck.type === "taken",
     });
-    this.#reading -= 1;
+    this.#pendingCount -= 1;
     if (reading.type === "gone") return;
     const reply = createReply({
       response,
       dialect,
-      lastOnConnection: () => stop.askedAt !== undefined,
+      shouldCloseConnection: () => stop.askedAt !== undefined,
     });
     if (reading.type === "tooLarge") {
       response.shouldKeepAlive = false;
       response.on("finish", () => incoming.destroy());
       return this.#refuse(reply, GatewayError.bodyTooLarge, incoming);
     }
-    // A body may take its time: keys may be taken away meanwhile.
-    const intake = early.type === "taken" ? this.#intake(incoming) : early;
-    if (intake.type === "refused") {
-      return this.#refuse(reply, intake.error, incoming);
+    // Checks again: a key may have been revoked while the body was read.
+    const check = firstCheck.type === "taken"
+      ? this.#checkHeaders(incoming)
+      : firstCheck;
+    if (check.type === "refused") {
+      return this.#refuse(reply, check.error, incoming);
     }
     const { body } = reading;
-    const request = this.#request(incoming, { intake, receivedAt, body });
-    const hold = await this.#holdQuota(request);
-    if (hold.type === "refused") {
-      const { error, retryAfterMs } = hold;
+    const request = this.#createRequest(incoming, { check, receivedAt, body });
+    const quota = await this.#acquireQuota(request);
+    if (quota.type === "refused") {
+      const { error, retryAfterMs } = quota;
       return this.#refuse(reply, error, incoming, retryAfterMs);
     }
-    if (response.destroyed) return hold.giveBack();
-    this.#begin(request, { reply, response, hold });
+    if (response.destroyed) return quota.release();
+    this.#startExchange(request, { reply, response, quota });
   }
 
-  async #holdQuota(request: GatewayRequest): Promise<QuotaHold> {
+  async #acquireQuota(request: GatewayRequest): Promise<QuotaAcquisition> {
     const { clock, routes: { version } } = this.#context;
     const quotas = this.#quotas;
-    this.#reading += 1;
-    const hold = await takeQuotaHold({ clock, quotas, version }, request);
-    this.#reading -= 1;
-    return hold;
+    this.#pendingCount += 1;
+    const quota = await acquireQuota({ clock, quotas, version }, request);
+    this.#pendingCount -= 1;
+    return quota;
   }
 
-  /** What a request's head says of where it goes, and whether it may. */
-  #intake(incoming: IncomingMessage): Intake {
+  /** Finds the route and the customer of a request, or why it is refused. */
+  #checkHeaders(incoming: IncomingMessage): HeaderCheck {
     const { clock, routes, dialect } = this.#context;
     const host = incoming.headers.host ?? "";
     const route = routes.match(host, incoming.url ?? "/");
     if (!route) {
       return { type: "refused", error: this.#noRouteError() };
     }
-    if (!this.#timeLeftFor(route)) {
+    if (!this.#hasTimeFor(route)) {
       return { type: "refused", error: GatewayError.stopping };
     }
     const facts = dialect.readRequest(incoming.headers);
@@ -177,8 +185,8 @@
   }
 
   /**
-   * A 404 is final to its caller, so none is given by a host that knows of a
-   * newer configuration, which may have the route.
+   * Callers don't retry a 404, so a host that waits for a newer configuration,
+   * which may contain the route, responds with a retryable error instead.
    */
   #noRouteError(): GatewayError {
     const { routes } = this.#context;
@@ -186,17 +194,17 @@
     return routes.isBehind ? GatewayError.staleRoutes : GatewayError.noRoute;
   }
 
-  #request(
+  #createRequest(
     incoming: IncomingMessage,
-    read: {
-      readonly intake: TakenIntake;
+    parts: {
+      readonly check: AcceptedHeaders;
       readonly receivedAt: Milliseconds;
       readonly body: Buffer;
     },
   ): GatewayRequest {
     const { random } = this.#context;
-    const { intake: { route, facts, customer }, receivedAt, body } = read;
-    const holdMs = Math.min(route.timeoutMs, facts.patienceMs ?? Infinity);
+    const { check: { route, facts, customer }, receivedAt, body } = parts;
+    const timeoutMs = Math.min(route.timeoutMs, facts.patienceMs ?? Infinity);
     const method = incoming.method ?? "GET";
     const target = incoming.url ?? "/";
     const fingerprint = lazyFingerprint({
@@ -216,53 +224,54 @@
       fingerprint,
       method,
       target,
-      rawHeaders: this.#headersToPass(incoming.rawHeaders),
+      rawHeaders: this.#forwardedHeaders(incoming.rawHeaders),
       facts,
-      limitAt: receivedAt + holdMs,
+      limitAt: receivedAt + timeoutMs,
     };
   }
 
-  /** Keys are for this system alone. */
-  #headersToPass(raw: readonly string[]): string[] {
+  /** Removes customer keys, which replicas must not receive. */
+  #forwardedHeaders(raw: readonly string[]): string[] {
     const { dialect, routes } = this.#context;
-    const passed = requestHeaders(raw, dialect.endToEndHeaders);
-    if (!routes.customers) return passed;
-    return withoutHeaders(passed, (name) => name === dialect.keyHeader);
+    const forwarded = requestHeaders(raw, dialect.endToEndHeaders);
+    if (!routes.customers) return forwarded;
+    return withoutHeaders(forwarded, (name) => name === dialect.keyHeader);
   }
 
-  #begin(
+  #startExchange(
     request: GatewayRequest,
-    { reply, response, hold }: {
+    { reply, response, quota }: {
       readonly reply: Reply;
       readonly response: ServerResponse;
-      readonly hold: Extract<QuotaHold, { type: "held" }>;
+      readonly quota: Extract<QuotaAcquisition, { type: "held" }>;
     },
   ): void {
     const exchange = new Exchange({
       context: this.#context,
-      places: this.#places,
+      places: this.#planner,
       request,
       reply,
       onEnd: (mayHaveRun) => {
-        this.#open.delete(exchange);
-        if (!mayHaveRun) hold.giveBack();
+        this.#exchanges.delete(exchange);
+        if (!mayHaveRun) quota.release();
       },
     });
-    this.#open.add(exchange);
+    this.#exchanges.add(exchange);
     response.on("close", () => {
       if (!response.writableFinished) exchange.callerGone();
     });
     void exchange.run();
   }
 
-  #timeLeftFor(route: Route): boolean {
+  #hasTimeFor(route: Route): boolean {
     const { stop, clock, routes } = this.#context;
     if (stop.askedAt === undefined) return true;
-    const left = stop.askedAt + stop.graceMs - clock.now();
-    const engine = route.targets.some((one) =>
-      routes.service(one.service)?.engine !== undefined
+    const timeLeftMs = stop.askedAt + stop.graceMs - clock.now();
+    const hasEngineTarget = route.targets.some((target) =>
+      routes.service(target.service)?.engine !== undefined
     );
-    return left > (engine ? STREAM_MS : PLAIN_MS);
+    return timeLeftMs >
+      (hasEngineTarget ? MIN_STREAM_TIME_LEFT_MS : MIN_PLAIN_TIME_LEFT_MS);
   }
 
   #refuse(
@@ -273,17 +282,18 @@
   ): void {
     const { events, metrics, routes, dialect, clock } = this.#context;
     const { id, keyDigest = "" } = dialect.readRequest(incoming.headers);
-    const age = this.#admission.configAgeMs(clock.now());
+    const ageMs = this.#admission.configAgeMs(clock.now());
     metrics.count(`ended_${error}`);
     events.note("refused", {
       request: id,
       error,
       customer: routes.customers?.holderOf(keyDigest)?.name,
       routes: routes.version,
-      routes_age_ms: Number.isFinite(age) ? Math.round(age) : undefined,
+      routes_age_ms: Number.isFinite(ageMs) ? Math.round(ageMs) : undefined,
       retry_after: retryAfterMs && retryAfterMs / 1000,
     });
-    const seconds = retryAfterMs && Math.ceil(retryAfterMs / 10) / 100;
-    reply.fail(error, seconds);
+    const retryAfterSeconds = retryAfterMs &&
+      Math.ceil(retryAfterMs / 10) / 100;
+    reply.fail(error, retryAfterSeconds);
   }
 }
