--- a/src/gateway/upstreams/call.ts
+++ b/src/gateway/upstreams/call.ts
@@ -1,4 +1,7 @@
-/** One HTTP call to a replica, with what is certain about it. */
+/**
+ * One HTTP call to an upstream replica. Its outcome tells whether the request
+ * can have run.
+ */
 import {
   type Agent,
   type ClientRequest,
@@ -11,172 +14,177 @@
 import { isRefusal } from "./probe.ts";
 
 /**
- * A call over a kept connection that ends so soon met a connection which the
- * replica had closed already: its close was on its way. One way there and back
- * is 2 ms within a region; what crashes a replica takes 20 ms and more.
+ * When a reused connection ends this soon after the start of the call, the
+ * replica had already closed it before the request arrived. The value is above
+ * a round trip within a region and below the time in which a request can crash a
+ * replica.
  */
-const STALE_MS = 10;
+const STALE_CONNECTION_MS = 10;
 
-/** What is sent. */
-export type CallSource = {
+/** Options of {@link startCall}. */
+export type CallOptions = {
   readonly address: string;
   readonly method: string;
   readonly path: string;
-  /** Name and value by turns. */
+  /** Alternating names and values. */
   readonly headers: readonly string[];
   readonly body: Buffer;
   readonly agent: Agent;
   readonly clock: Clock;
   readonly connectTimeoutMs: Milliseconds;
   /**
-   * Asked once there is a connection, which a call may have waited for; false:
-   * nothing is sent. Absent: it is sent.
+   * Called once the call has a connection, for which it may have waited. If it
+   * returns false, nothing is sent. Without it, the request is always sent.
    */
   readonly mayGo?: () => boolean;
 };
 
-/** An answer whose head has come. */
+/** A response whose headers have been received. */
 export type Answer = {
   readonly message: IncomingMessage;
   /**
-   * Once the message is closed: whether its body came whole. Node calls a
-   * body without a length complete also when its connection was reset.
+   * Whether the body was received completely; valid once the message is closed.
+   * Node's `complete` is also true for a body without a length whose connection
+   * was reset.
    */
   intact(): boolean;
 };
 
-/** How a call went up to the head of its answer. */
+/** Outcome of a call up to the headers of its response. */
 export type CallOutcome =
   | { readonly type: "answer"; readonly answer: Answer }
-  /** No byte of the request has left. */
+  /** No byte of the request was sent. */
   | {
     readonly type: "notSent";
     readonly reason: string;
-    /** Nothing listens at the address. */
+    /** The connection was refused: nothing listens at the address. */
     readonly isRefused: boolean;
-    /** `mayGo` said no. */
+    /** The check before sending did not allow it. */
     readonly isWithheld: boolean;
   }
-  /** It was sent, at least in part, and no answer came. */
+  /** The request was sent, at least in part, but no response was received. */
   | {
     readonly type: "broken";
     readonly reason: string;
-    /** This host ended it. */
+    /** This host aborted the call. */
     readonly isAborted: boolean;
-    /** Its kept connection was surely closed before the request came. */
+    /** The reused connection was closed before the request arrived. */
     readonly isStale: boolean;
   };
 
-/** A call under way. */
+/** A call in progress. */
 export type Call = {
   readonly outcome: Promise<CallOutcome>;
-  /** Closes its connection, and so the replica's work. */
+  /** Closes the connection, which also makes the replica stop its work. */
   abort(reason: string): void;
 };
 
 /** Starts a call. */
-export function startCall(source: CallSource): Call {
-  const place = parseAddress(source.address);
-  if (!place) return unreachable(source.address);
-  const sending = open(source, place);
-  let connected = false;
-  let failed = false;
+export function startCall(options: CallOptions): Call {
+  const target = parseAddress(options.address);
+  if (!target) return failInvalidAddress(options.address);
+  const clientRequest = openRequest(options, target);
+  let isConnected = false;
+  let hasFailed = false;
   let isAborted = false;
   let isWithheld = false;
-  const startedAt = source.clock.now();
+  const startedAt = options.clock.now();
   const broken = (reason: string) => {
-    const isSoon = source.clock.now() - startedAt < STALE_MS;
-    const isStale = isSoon && sending.reusedSocket;
+    const isEarly = options.clock.now() - startedAt < STALE_CONNECTION_MS;
+    const isStale = isEarly && clientRequest.reusedSocket;
     return { type: "broken", reason, isAborted, isStale } as const;
   };
   const notSent = (reason: string, isRefused: boolean) =>
     ({ type: "notSent", reason, isRefused, isWithheld }) as const;
-  const cancelTimer = source.clock.after(source.connectTimeoutMs, () => {
-    if (!connected) sending.destroy(new Error("No connection in time"));
+  const cancelTimer = options.clock.after(options.connectTimeoutMs, () => {
+    if (!isConnected) clientRequest.destroy(new Error("Connection timed out"));
   });
-  watchSocket(sending, {
+  watchSocket(clientRequest, {
     onConnected: () => {
       cancelTimer();
-      connected = source.mayGo?.() ?? true;
-      isWithheld = !connected;
-      if (isWithheld) sending.destroy();
+      isConnected = options.mayGo?.() ?? true;
+      isWithheld = !isConnected;
+      if (isWithheld) clientRequest.destroy();
     },
-    onReset: () => failed = true,
+    onReset: () => hasFailed = true,
   });
   const outcome = new Promise<CallOutcome>((resolve) => {
-    sending.on("response", (message) => {
-      // Errors of the body are seen by whoever reads it.
+    clientRequest.on("response", (message) => {
+      // Prevents an uncaught error; the reader of the body checks `intact`.
       message.on("error", () => undefined);
-      const intact = () => message.complete && !failed;
+      const intact = () => message.complete && !hasFailed;
       resolve({ type: "answer", answer: { message, intact } });
     });
-    sending.on("error", (error) => {
-      failed = true;
+    clientRequest.on("error", (error) => {
+      hasFailed = true;
       cancelTimer();
       const reason = error.message;
-      resolve(connected ? broken(reason) : notSent(reason, isRefusal(error)));
+      resolve(isConnected ? broken(reason) : notSent(reason, isRefusal(error)));
     });
-    sending.on("close", () => {
+    clientRequest.on("close", () => {
       cancelTimer();
-      const reason = "The connection closed";
-      resolve(connected ? broken(reason) : notSent(reason, false));
+      const reason = "Connection closed before a response";
+      resolve(isConnected ? broken(reason) : notSent(reason, false));
     });
   });
-  sending.end(source.body.length > 0 ? source.body : undefined);
+  clientRequest.end(options.body.length > 0 ? options.body : undefined);
   return {
     outcome,
     abort: (reason) => {
       isAborted = true;
-      sending.destroy(new Error(reason));
+      clientRequest.destroy(new Error(reason));
     },
   };
 }
 
-function open(
-  source: CallSource,
+function openRequest(
+  options: CallOptions,
   { host, port }: { readonly host: string; readonly port: number },
 ): ClientRequest {
-  const { method, path, agent } = source;
-  const headers = framed(source) as unknown as Record<string, string>;
+  const { method, path, agent } = options;
+  const headers = withFraming(options) as unknown as Record<string, string>;
   return request({ host, port, method, path, headers, agent, setHost: false });
 }
 
-/** Tells when a call's connection stands, and when it was reset. */
+/** Notifies `on` when the connection of a call is open and when it was reset. */
 function watchSocket(
-  sending: ClientRequest,
+  clientRequest: ClientRequest,
   on: { onConnected(): void; onReset(): void },
 ): void {
-  sending.on("socket", (socket) => {
+  clientRequest.on("socket", (socket) => {
     const onEnd = () => {
-      // A reset that comes right behind the last bytes reads as an end; but
-      // a connection that was reset has no peer any more (getpeername(2)).
+      // A reset right after the last bytes is reported as an end, but a reset
+      // connection has no peer address any more (getpeername(2)).
       if (socket.remoteAddress === undefined) on.onReset();
     };
     socket.prependListener("end", onEnd);
-    sending.once("close", () => socket.off("end", onEnd));
+    clientRequest.once("close", () => socket.off("end", onEnd));
     if (!socket.connecting) return on.onConnected();
     socket.setNoDelay(true);
     socket.once("connect", () => on.onConnected());
   });
 }
 
-/** Headers with the framing of a body that is held whole. */
-function framed(source: CallSource): string[] {
-  const { headers, method, body } = source;
-  const named = hasHeader(headers, "host")
+/** Adds `Host`, if it is missing, and the `Content-Length` of the body. */
+function withFraming(options: CallOptions): string[] {
+  const { headers, method, body } = options;
+  const withHost = hasHeader(headers, "host")
     ? [...headers]
-    : ["Host", source.address, ...headers];
-  const bare = body.length === 0 && (method === "GET" || method === "HEAD");
-  if (bare) return named;
-  return [...named, "Content-Length", String(body.length)];
+    : ["Host", options.address, ...headers];
+  const omitsLength = body.length === 0 &&
+    (method === "GET" || method === "HEAD");
+  if (omitsLength) return withHost;
+  return [...withHost, "Content-Length", String(body.length)];
 }
 
 function hasHeader(headers: readonly string[], name: string): boolean {
-  return headers.some((one, at) => at % 2 === 0 && one.toLowerCase() === name);
+  return headers.some((text, index) =>
+    index % 2 === 0 && text.toLowerCase() === name
+  );
 }
 
-function unreachable(address: string): Call {
-  const reason = `No address: ${address}`;
+function failInvalidAddress(address: string): Call {
+  const reason = `Invalid address: ${address}`;
   return {
     outcome: Promise.resolve({
       type: "notSent",
@@ -188,23 +196,26 @@
   };
 }
 
-/** Reads a body whole; undefined when it ends early or is too long. */
+/**
+ * Reads the complete body of a response; undefined if it was cut off or is longer
+ * than `maxBytes`.
+ */
 export function readWhole(
   answer: Answer,
-  limit: number,
+  maxBytes: number,
 ): Promise<string | undefined> {
   return new Promise((resolve) => {
-    const parts: Buffer[] = [];
+    const chunks: Buffer[] = [];
     let length = 0;
     const { message } = answer;
-    message.on("data", (part: Buffer) => {
-      length += part.length;
-      if (length <= limit) parts.push(part);
+    message.on("data", (chunk: Buffer) => {
+      length += chunk.length;
+      if (length <= maxBytes) chunks.push(chunk);
       else message.destroy();
     });
     message.on("close", () => {
-      const whole = answer.intact() && length <= limit;
-      resolve(whole ? Buffer.concat(parts).toString("utf8") : undefined);
+      const isComplete = answer.intact() && length <= maxBytes;
+      resolve(isComplete ? Buffer.concat(chunks).toString("utf8") : undefined);
     });
   });
 }
--- a/src/gateway/upstreams/engine_call.ts
+++ b/src/gateway/upstreams/engine_call.ts
@@ -1,11 +1,17 @@
-/** Calls of a host's own to a replica: memory, reports and orders. */
+/**
+ * Control calls from this host to a model engine: reservations, exports, reports
+ * and stage orders.
+ */
 import type { Milliseconds } from "../../util/units.ts";
 import type { GatewayContext } from "../context.ts";
 import type { SmallCall } from "../port.ts";
 import type { ReplicaEntry } from "../replicas/model.ts";
 import type { JsonAnswer } from "./json_client.ts";
 
-/** Calls a replica; undefined when no whole answer comes in time. */
+/**
+ * Calls a replica and passes what the headers of its response report about it to
+ * the gate; undefined if no complete response arrives within `timeoutMs`.
+ */
 export async function callEngine(
   { pool, dialect, clock, gate }: Pick<
     GatewayContext,
--- a/src/gateway/upstreams/json_client.ts
+++ b/src/gateway/upstreams/json_client.ts
@@ -1,64 +1,67 @@
-/** Small JSON calls to one address over kept connections. */
+/** JSON calls to one address over persistent connections. */
 import { Agent, type IncomingHttpHeaders } from "node:http";
 import type { SmallCall } from "../port.ts";
 import type { Clock } from "../clock.ts";
 import { readWhole, startCall } from "./call.ts";
 
-/** An answer read whole. */
+/** A complete response. */
 export type JsonAnswer = {
   readonly status: number;
   readonly body: string;
-  /** Absent where no transport brought it. */
+  /** Absent where the response was not received over HTTP. */
   readonly headers?: IncomingHttpHeaders;
 };
 
-/** A client of one address. */
+/** A client for one address. */
 export type JsonClient = {
-  /** Rejects when no whole answer comes, or when `signal` ends the call. */
+  /** Rejects if no complete response arrives or `signal` aborts the call. */
   call(call: SmallCall, signal: AbortSignal): Promise<JsonAnswer>;
   close(): void;
 };
 
-const BODY_LIMIT = 64 << 20;
+const MAX_BODY_BYTES = 64 << 20;
 const CONNECT_TIMEOUT_MS = 600;
-const SOCKETS = 4;
+const MAX_SOCKETS = 4;
 
-/** Makes a client; its connections are made when they are needed. */
+/** Creates a client, which opens connections on demand. */
 export function createJsonClient(address: string, clock: Clock): JsonClient {
-  const agent = new Agent({ keepAlive: true, maxSockets: SOCKETS });
+  const agent = new Agent({ keepAlive: true, maxSockets: MAX_SOCKETS });
   return {
-    call: (call, signal) => callOnce({ address, clock, agent }, call, signal),
+    call: (call, signal) => sendCall({ address, clock, agent }, call, signal),
     close: () => agent.destroy(),
   };
 }
 
-type Place = {
+/** What all calls of a client share. */
+type ClientState = {
   readonly address: string;
   readonly clock: Clock;
   readonly agent: Agent;
 };
 
-async function callOnce(
-  place: Place,
-  small: SmallCall,
+async function sendCall(
+  state: ClientState,
+  smallCall: SmallCall,
   signal: AbortSignal,
 ): Promise<JsonAnswer> {
   signal.throwIfAborted();
   const call = startCall({
-    ...place,
-    method: small.method,
-    path: small.path,
+    ...state,
+    method: smallCall.method,
+    path: smallCall.path,
     headers: ["Content-Type", "application/json"],
-    body: Buffer.from(small.body ?? ""),
+    body: Buffer.from(smallCall.body ?? ""),
     connectTimeoutMs: CONNECT_TIMEOUT_MS,
   });
-  const abort = () => call.abort("Given up");
+  const abort = () => call.abort("Call aborted");
   signal.addEventListener("abort", abort, { once: true });
   try {
     const outcome = await call.outcome;
     if (outcome.type !== "answer") throw new Error(outcome.reason);
-    const body = await readWhole(outcome.answer, BODY_LIMIT);
-    if (body === undefined) throw new Error("The answer was cut off");
+    const body = await readWhole(outcome.answer, MAX_BODY_BYTES);
+    if (body === undefined) {
+      throw new Error("Response body cut off or too long");
+    }
     const { statusCode = 0, headers } = outcome.answer.message;
     return { status: statusCode, body, headers };
   } finally {
--- a/src/gateway/upstreams/kept_agent.ts
+++ b/src/gateway/upstreams/kept_agent.ts
@@ -1,49 +1,54 @@
-/** Connections to replicas that are used again, with a margin at their end. */
+/** Persistent connections that are closed before the replica closes them. */
 import { Agent, type IncomingMessage } from "node:http";
 import type { Socket } from "node:net";
 import type { Milliseconds } from "../../util/units.ts";
 
 /**
- * A replica may close an idle connection at the time that it told; a request
- * that crosses the close may or may not have run. So it is closed earlier.
+ * An idle connection is closed this long before the timeout that the replica
+ * announced. Otherwise a request could be sent while the replica closes the
+ * connection, and it would be unknown whether the request ran.
  */
 const CLOSE_MARGIN_MS = 1200;
-/** Used where a replica tells no time. */
-const USUAL_IDLE_MS = 4000;
+/** Idle timeout for replicas that announce none. */
+const DEFAULT_IDLE_MS = 4000;
 
-type WithAnswer = Socket & {
+/** A socket with the request that Node attaches to it (internal to Node). */
+type SocketWithMessage = Socket & {
   _httpMessage?: { res?: IncomingMessage };
 };
 
-/** An agent that keeps connections for less time than their replicas do. */
-export class KeptAgent extends Agent {
-  constructor(mostSockets: number) {
+/** An agent whose idle timeout is shorter than that of the replica. */
+export class KeepAliveAgent extends Agent {
+  constructor(maxConnections: number) {
     super({
       keepAlive: true,
-      maxSockets: mostSockets,
-      maxFreeSockets: mostSockets,
+      maxSockets: maxConnections,
+      maxFreeSockets: maxConnections,
       scheduling: "lifo",
     });
   }
 
-  /** Called by Node when an answer has ended; false closes the connection. */
+  /** Called by Node when a response has ended; false closes the connection. */
   override keepSocketAlive(socket: Socket): boolean {
-    const answer = (socket as WithAnswer)._httpMessage?.res;
-    const idleMs = idleTime(answer?.headers["keep-alive"]);
+    const answer = (socket as SocketWithMessage)._httpMessage?.res;
+    const idleMs = idleTimeoutMs(answer?.headers["keep-alive"]);
     if (idleMs <= 0) return false;
-    socket.setKeepAlive(true, USUAL_IDLE_MS);
+    socket.setKeepAlive(true, DEFAULT_IDLE_MS);
     socket.unref();
     socket.setTimeout(idleMs);
     return true;
   }
 }
 
-/** How long a connection may rest here. */
-export function idleTime(
+/**
+ * How long a connection may stay idle, by the `Keep-Alive` response header; zero
+ * or less: it is not reused.
+ */
+export function idleTimeoutMs(
   keepAlive: string | string[] | undefined,
 ): Milliseconds {
   const text = Array.isArray(keepAlive) ? keepAlive[0] : keepAlive;
   const seconds = /timeout=(\d+)/.exec(text ?? "")?.[1];
-  if (seconds === undefined) return USUAL_IDLE_MS;
+  if (seconds === undefined) return DEFAULT_IDLE_MS;
   return Number(seconds) * 1000 - CLOSE_MARGIN_MS;
 }
--- a/src/gateway/upstreams/pool.ts
+++ b/src/gateway/upstreams/pool.ts
@@ -1,36 +1,38 @@
-/** Connections to replicas: those for requests and those for small calls. */
+/**
+ * Pools of connections to replicas: for callers' requests, and for small calls,
+ * which this host makes without a caller's request.
+ */
 import type { Agent } from "node:http";
 import type { Milliseconds } from "../../util/units.ts";
 import type { Clock } from "../clock.ts";
 import type { SmallCall } from "../port.ts";
 import { type Call, readWhole, startCall } from "./call.ts";
 import type { JsonAnswer } from "./json_client.ts";
-import { KeptAgent } from "./kept_agent.ts";
+import { KeepAliveAgent } from "./kept_agent.ts";
 
-/** Longest answer to a small call. */
-const SMALL_BODY_LIMIT = 1 << 20;
+const MAX_SMALL_BODY_BYTES = 1 << 20;
 const JSON_HEADERS = ["Content-Type", "application/json"];
-/** Connections for small calls to one replica. */
-const SMALL_SOCKETS = 3;
+/** Maximum number of connections for small calls to one replica. */
+const MAX_SMALL_CONNECTIONS = 3;
 
 /**
- * Agents by replica. A surplus answer to a request must never be taken for
- * the answer to a small call, which names no request; so the two kinds never
- * share a connection.
+ * HTTP agents by incarnation of a replica. Requests and small calls never share
+ * a connection: the response to a small call names no request, so a surplus
+ * response to a request could be mistaken for it.
  */
 export class UpstreamPool {
   readonly #clock: Clock;
   readonly #connectTimeoutMs: Milliseconds;
-  readonly #work = new Map<string, Agent>();
-  readonly #small = new Map<string, Agent>();
+  readonly #requestAgents = new Map<string, Agent>();
+  readonly #smallCallAgents = new Map<string, Agent>();
 
   constructor(clock: Clock, connectTimeoutMs: Milliseconds) {
     this.#clock = clock;
     this.#connectTimeoutMs = connectTimeoutMs;
   }
 
-  /** Sends a request, as it is, to a replica. */
-  send(source: {
+  /** Sends a request unchanged to a replica. */
+  send(options: {
     readonly address: string;
     readonly incarnation: string;
     readonly method: string;
@@ -38,41 +40,51 @@
     readonly headers: readonly string[];
     readonly body: Buffer;
     readonly mostConnections: number;
-    /** As in {@link CallSource}. */
+    /** As in {@link CallOptions}. */
     readonly mayGo: () => boolean;
   }): Call {
-    const { incarnation, mostConnections } = source;
+    const { incarnation, mostConnections } = options;
     return startCall({
-      ...source,
-      agent: agentIn(this.#work, incarnation, mostConnections),
+      ...options,
+      agent: agentOf(this.#requestAgents, incarnation, mostConnections),
       clock: this.#clock,
       connectTimeoutMs: this.#connectTimeoutMs,
     });
   }
 
-  /** Makes a small call; undefined when no whole answer comes in time. */
+  /**
+   * Makes a small call; undefined if no complete response arrives within
+   * `timeoutMs`.
+   */
   async small(
-    place: { readonly address: string; readonly incarnation: string },
-    small: SmallCall & { readonly headers?: readonly string[] },
+    entry: { readonly address: string; readonly incarnation: string },
+    smallCall: SmallCall & { readonly headers?: readonly string[] },
     timeoutMs: Milliseconds,
   ): Promise<JsonAnswer | undefined> {
     const call = startCall({
-      address: place.address,
-      method: small.method,
-      path: small.path,
+      address: entry.address,
+      method: smallCall.method,
+      path: smallCall.path,
       headers: [
-        ...(small.body === undefined ? [] : JSON_HEADERS),
-        ...(small.headers ?? []),
+        ...(smallCall.body === undefined ? [] : JSON_HEADERS),
+        ...(smallCall.headers ?? []),
       ],
-      body: Buffer.from(small.body ?? ""),
-      agent: agentIn(this.#small, place.incarnation, SMALL_SOCKETS),
+      body: Buffer.from(smallCall.body ?? ""),
+      agent: agentOf(
+        this.#smallCallAgents,
+        entry.incarnation,
+        MAX_SMALL_CONNECTIONS,
+      ),
       clock: this.#clock,
       connectTimeoutMs: Math.min(timeoutMs, this.#connectTimeoutMs),
     });
-    const cancel = this.#clock.after(timeoutMs, () => call.abort("Too late"));
+    const cancel = this.#clock.after(
+      timeoutMs,
+      () => call.abort("Call timed out"),
+    );
     const outcome = await call.outcome;
     const body = outcome.type === "answer"
-      ? await readWhole(outcome.answer, SMALL_BODY_LIMIT)
+      ? await readWhole(outcome.answer, MAX_SMALL_BODY_BYTES)
       : undefined;
     cancel();
     if (outcome.type !== "answer" || body === undefined) return undefined;
@@ -80,33 +92,33 @@
     return { status: statusCode, body, headers };
   }
 
-  /** Lets go of the idle connections to replicas that are gone. */
+  /** Closes the idle connections to a replica that was removed. */
   forget(incarnation: string): void {
-    this.#small.get(incarnation)?.destroy();
-    this.#small.delete(incarnation);
-    // Requests that still run there keep their connections until they end.
-    const idle = this.#work.get(incarnation)?.freeSockets ?? {};
-    this.#work.delete(incarnation);
-    for (const sockets of Object.values(idle)) {
+    this.#smallCallAgents.get(incarnation)?.destroy();
+    this.#smallCallAgents.delete(incarnation);
+    // Requests in progress keep their connections until they end.
+    const idleSockets = this.#requestAgents.get(incarnation)?.freeSockets ?? {};
+    this.#requestAgents.delete(incarnation);
+    for (const sockets of Object.values(idleSockets)) {
       for (const socket of sockets ?? []) socket.destroy();
     }
   }
 
   /** Closes all connections. */
   close(): void {
-    for (const agent of this.#work.values()) agent.destroy();
-    for (const agent of this.#small.values()) agent.destroy();
+    for (const agent of this.#requestAgents.values()) agent.destroy();
+    for (const agent of this.#smallCallAgents.values()) agent.destroy();
   }
 }
 
-function agentIn(
+function agentOf(
   agents: Map<string, Agent>,
   incarnation: string,
-  mostSockets: number,
+  maxSockets: number,
 ): Agent {
-  const known = agents.get(incarnation);
-  if (known) return known;
-  const agent = new KeptAgent(mostSockets);
+  const existing = agents.get(incarnation);
+  if (existing) return existing;
+  const agent = new KeepAliveAgent(maxSockets);
   agents.set(incarnation, agent);
   return agent;
 }
--- a/src/gateway/upstreams/probe.ts
+++ b/src/gateway/upstreams/probe.ts
@@ -1,15 +1,15 @@
-/** Looks whether something listens at an address. */
+/** Probes whether a process listens at an address. */
 import { connect } from "node:net";
 import type { Milliseconds } from "../../util/units.ts";
 import { parseAddress } from "../../util/address.ts";
 import type { Clock } from "../clock.ts";
 
-/** What a connection attempt has shown. */
+/** Result of a connection attempt. */
 export type ProbeResult =
   | "listens"
-  /** The host answers, and nothing listens there. */
+  /** The machine responded that nothing listens at the port. */
   | "refused"
-  /** No answer in time, or no way there: it tells nothing. */
+  /** No response in time, or no route: whether it listens is unknown. */
   | "silent";
 
 /** Opens a connection, sends nothing and closes it. */
@@ -20,24 +20,24 @@
     readonly timeoutMs: Milliseconds;
   },
 ): Promise<ProbeResult> {
-  const place = parseAddress(address);
-  if (!place) return Promise.resolve("silent");
+  const target = parseAddress(address);
+  if (!target) return Promise.resolve("silent");
   return new Promise((resolve) => {
-    const socket = connect({ host: place.host, port: place.port });
-    const end = (result: ProbeResult) => {
+    const socket = connect({ host: target.host, port: target.port });
+    const finish = (result: ProbeResult) => {
       cancel();
       socket.destroy();
       resolve(result);
     };
-    const cancel = clock.after(timeoutMs, () => end("silent"));
-    socket.on("connect", () => end("listens"));
+    const cancel = clock.after(timeoutMs, () => finish("silent"));
+    socket.on("connect", () => finish("listens"));
     socket.on("error", (error) => {
-      end(isRefusal(error) ? "refused" : "silent");
+      finish(isRefusal(error) ? "refused" : "silent");
     });
   });
 }
 
-/** Whether the error says that nothing listens at the address. */
+/** Whether the error means that the connection was refused. */
 export function isRefusal(error: Error): boolean {
   return "code" in error && error.code === "ECONNREFUSED";
 }
--- a/test/gateway/upstreams/call_test.ts
+++ b/test/gateway/upstreams/call_test.ts
@@ -1,4 +1,4 @@
-/** What is certain of a call whose connection ends. */
+/** Outcomes of calls whose connection closes or that are withheld. */
 import assert from "node:assert/strict";
 import { Agent } from "node:http";
 import { test } from "node:test";
@@ -8,17 +8,20 @@
 } from "../../../src/gateway/upstreams/call.ts";
 import { startRawReplica, whole } from "../raw_replica.ts";
 
-/** A call after one that was answered; both over one kept connection or not. */
+/**
+ * Outcome of a call that follows an answered one. The replica closes the
+ * connection `elapsedMs` after the start of the second call.
+ */
 async function secondCall(
-  { keepAlive, spentMs }: {
+  { keepAlive, elapsedMs }: {
     readonly keepAlive: boolean;
-    readonly spentMs: number;
+    readonly elapsedMs: number;
   },
 ): Promise<CallOutcome> {
   let now = 0;
   const replica = await startRawReplica((request, socket) => {
     if (request.number === 1) return void socket.write(whole(request, ""));
-    now = spentMs;
+    now = elapsedMs;
     socket.destroy();
   });
   const agent = new Agent({ keepAlive, maxSockets: 1 });
@@ -38,7 +41,7 @@
     assert.equal(first.type, "answer");
     if (first.type === "answer") {
       first.answer.message.resume();
-      await new Promise((end) => first.answer.message.on("close", end));
+      await new Promise((resolve) => first.answer.message.on("close", resolve));
     }
     await new Promise((resolve) => setImmediate(resolve));
     return await call().outcome;
@@ -48,27 +51,27 @@
   }
 }
 
-test("a kept connection that ends at once was closed before the call", async () => {
+test("only a reused connection that closes at once counts as stale", async () => {
   const cases = [
-    { keepAlive: true, spentMs: 1, isStale: true },
-    { keepAlive: true, spentMs: 20, isStale: false },
-    { keepAlive: false, spentMs: 1, isStale: false },
+    { keepAlive: true, elapsedMs: 1, isStale: true },
+    { keepAlive: true, elapsedMs: 20, isStale: false },
+    { keepAlive: false, elapsedMs: 1, isStale: false },
   ];
-  for (const { isStale, ...one } of cases) {
-    const outcome = await secondCall(one);
+  for (const { isStale, ...options } of cases) {
+    const outcome = await secondCall(options);
     assert.equal(outcome.type, "broken");
     assert.equal(outcome.type === "broken" && outcome.isStale, isStale);
   }
 });
 
 for (const keepAlive of [true, false]) {
-  test(`what waited for a connection isn't sent when it may go no more, ${keepAlive ? "kept" : "new"}`, async () => {
-    let answerFirst: () => void = () => undefined;
+  test(`a call that waited for a ${keepAlive ? "reused" : "new"} connection isn't sent once sending is no longer allowed`, async () => {
+    let respondToFirst: () => void = () => undefined;
     const replica = await startRawReplica((request, socket) => {
-      answerFirst = () => void socket.write(whole(request, ""));
+      respondToFirst = () => void socket.write(whole(request, ""));
     });
     const agent = new Agent({ keepAlive, maxSockets: 1 });
-    let isOpen = true;
+    let maySend = true;
     const call = () =>
       startCall({
         address: replica.address,
@@ -79,7 +82,7 @@
         agent,
         clock: { now: () => 0, after: () => () => undefined },
         connectTimeoutMs: 1000,
-        mayGo: () => isOpen,
+        mayGo: () => maySend,
       });
     try {
       const first = call().outcome;
@@ -87,10 +90,10 @@
       while (replica.requests.length === 0) {
         await new Promise((resolve) => setImmediate(resolve));
       }
-      isOpen = false;
-      answerFirst();
-      const answered = await first;
-      if (answered.type === "answer") answered.answer.message.resume();
+      maySend = false;
+      respondToFirst();
+      const firstOutcome = await first;
+      if (firstOutcome.type === "answer") firstOutcome.answer.message.resume();
       const outcome = await second;
       assert.ok(outcome.type === "notSent" && outcome.isWithheld);
       assert.equal(replica.requests.length, 1);
