--- a/src/gateway/http/headers.ts
+++ b/src/gateway/http/headers.ts
@@ -1,6 +1,6 @@
-/** Headers as names and values by turns, as they came over the wire. */
+/** Filters raw headers, which are lists of alternating names and values. */
 
-/** Headers of one connection only (RFC 9110, 7.6.1), and of its framing. */
+/** Hop-by-hop headers (RFC 9110, 7.6.1) and those of message framing. */
 const CONNECTION_HEADERS: ReadonlySet<string> = new Set([
   "connection",
   "keep-alive",
@@ -13,63 +13,69 @@
   "upgrade",
 ]);
 
-/** Headers without those that `drop`, given a lower-case name, picks. */
+/** Returns the headers except those whose lower-case name `shouldDrop` accepts. */
 export function withoutHeaders(
   raw: readonly string[],
-  drop: (name: string) => boolean,
+  shouldDrop: (name: string) => boolean,
 ): string[] {
   const kept: string[] = [];
-  for (let at = 0; at + 1 < raw.length; at += 2) {
-    const name = raw[at] ?? "";
-    if (drop(name.toLowerCase())) continue;
-    kept.push(name, raw[at + 1] ?? "");
+  for (let index = 0; index + 1 < raw.length; index += 2) {
+    const name = raw[index] ?? "";
+    if (shouldDrop(name.toLowerCase())) continue;
+    kept.push(name, raw[index + 1] ?? "");
   }
   return kept;
 }
 
 /**
- * Headers that go from end to end; the body's length is told anew. Those in
- * `endToEnd` stay even if the `Connection` header names them.
+ * Request headers to forward to a replica: the end-to-end ones without
+ * `Content-Length`, which is set again when the request is sent, and `Expect`.
+ * Headers in `endToEnd` are kept even if the `Connection` header names them.
  */
 export function requestHeaders(
   raw: readonly string[],
   endToEnd: ReadonlySet<string>,
 ): string[] {
-  const named = namedByConnection(raw, endToEnd);
+  const connectionNames = namesInConnection(raw, endToEnd);
   return withoutHeaders(
     raw,
     (name) =>
-      CONNECTION_HEADERS.has(name) || named.has(name) ||
+      CONNECTION_HEADERS.has(name) || connectionNames.has(name) ||
       name === "content-length" || name === "expect",
   );
 }
 
-/** Headers of an answer; its length stays unless it came in chunks. */
+/**
+ * Response headers to forward to the caller: the end-to-end ones, without
+ * `Content-Length` if the response is chunked. Headers in `endToEnd` are kept even
+ * if the `Connection` header names them.
+ */
 export function answerHeaders(
   raw: readonly string[],
   endToEnd: ReadonlySet<string>,
 ): string[] {
-  const named = namedByConnection(raw, endToEnd);
-  const chunked = raw.some((one, at) =>
-    at % 2 === 0 && one.toLowerCase() === "transfer-encoding"
+  const connectionNames = namesInConnection(raw, endToEnd);
+  const isChunked = raw.some((text, index) =>
+    index % 2 === 0 && text.toLowerCase() === "transfer-encoding"
   );
   return withoutHeaders(
     raw,
     (name) =>
-      CONNECTION_HEADERS.has(name) || named.has(name) ||
-      (chunked && name === "content-length"),
+      CONNECTION_HEADERS.has(name) || connectionNames.has(name) ||
+      (isChunked && name === "content-length"),
   );
 }
 
-function namedByConnection(
+/** Lower-case names listed in the `Connection` header, except `endToEnd`. */
+function namesInConnection(
   raw: readonly string[],
   endToEnd: ReadonlySet<string>,
 ): Set<string> {
   const names = new Set<string>();
-  for (let at = 0; at + 1 < raw.length; at += 2) {
-    if (raw[at]?.toLowerCase() !== "connection") continue;
-    for (const part of (raw[at + 1] ?? "").split(",")) {
-      const name = part.trim().toLowerCase();
+  for (let index = 0; index + 1 < raw.length; index += 2) {
+    if (raw[index]?.toLowerCase() !== "connection") continue;
+    for (const item of (raw[index + 1] ?? "").split(",")) {
+      const name = item.trim().toLowerCase();
       if (!endToEnd.has(name)) names.add(name);
     }
   }
