--- a/src/gateway/upstreams/pool.ts
+++ b/src/gateway/upstreams/pool.ts
@@ -43,10 +43,10 @@
     /** As in {@link CallOptions}. */
     readonly mayGo: () => boolean;
   }): Call {
-    const { incarnation, mostConnections } = options;
+    const { incarnation, mostConnections: maxConnections } = options;
     return startCall({
       ...options,
-      agent: agentOf(this.#requestAgents, incarnation, mostConnections),
+      agent: agentOf(this.#requestAgents, incarnation, maxConnections),
       clock: this.#clock,
       connectTimeoutMs: this.#connectTimeoutMs,
     });
@@ -92,7 +92,7 @@
     return { status: statusCode, body, headers };
   }
 
-  /** Closes the idle connections to a replica that was removed. */
+  /** Drops the agents of a removed replica and closes their idle connections. */
   forget(incarnation: string): void {
     this.#smallCallAgents.get(incarnation)?.destroy();
     this.#smallCallAgents.delete(incarnation);
