--- a/src/operators/checks.ts
+++ b/src/operators/checks.ts
@@ -1,4 +1,4 @@
-/** Checks templates and customers against each other before a publish. */
+/** Validates templates and customers against each other before a publish. */
 import {
   type Customer,
   customerFaults,
@@ -9,37 +9,38 @@
   TemplateSchema,
 } from "../core/mod.ts";
 import { guardKey, readRow } from "./publish.ts";
-import type { Store, StoredChange, StoredRow } from "./store.ts";
+import type { ConditionalChange, Store, StoredRow } from "./store.ts";
 
-/** A checked value, ready to be published, or all its faults. */
-export type Checked = {
+/** Result of a check: all faults, or what a publish needs. */
+export type CheckResult = {
   readonly faults: readonly string[];
-  /** The row as it is now. */
+  /** The current row, if it exists. */
   readonly before?: StoredRow;
-  readonly guards: readonly StoredChange[];
+  /** Changes to include in the publish; see `Change.guards`. */
+  readonly guards: readonly ConditionalChange[];
 };
 
-/** Checks a template, also against the customers that use it. */
+/** Validates a template and the customers that use it. */
 export async function checkTemplate(
   store: Store,
   value: unknown,
-): Promise<Checked> {
+): Promise<CheckResult> {
   const faults = templateFaults(value);
   if (faults.length > 0) return { faults, guards: [] };
   const template = TemplateSchema.parse(value);
   const guard = await readRow(store, guardKey(template.name));
-  const customers = await customersOf(store, template);
-  const broken = customers.flatMap((customer) =>
+  const customers = await readCustomersOf(store, template);
+  const customerFaultTexts = customers.flatMap((customer) =>
     customerFaults(customer, template)
       .map((fault) => `customer ${customer.name}: ${fault}`)
   );
   const before = await readRow(store, RowKey.template + template.name);
   const key = guardKey(template.name);
   const guards = [{ key, ifRevision: guard?.revision ?? 0 }];
-  return { faults: broken, guards, ...(before ? { before } : {}) };
+  return { faults: customerFaultTexts, guards, ...(before ? { before } : {}) };
 }
 
-async function customersOf(
+async function readCustomersOf(
   store: Store,
   template: Template,
 ): Promise<Customer[]> {
@@ -52,11 +53,11 @@
   });
 }
 
-/** Checks a customer against its template. */
+/** Validates a customer against its template. */
 export async function checkCustomer(
   store: Store,
   value: unknown,
-): Promise<Checked> {
+): Promise<CheckResult> {
   const parsed = CustomerSchema.safeParse(value);
   if (!parsed.success) {
     return { faults: customerFaults(value, undefined), guards: [] };
@@ -68,7 +69,7 @@
     : undefined;
   const faults = customerFaults(value, template);
   const before = await readRow(store, RowKey.customer + name);
-  const guards: StoredChange[] = [
+  const guards: ConditionalChange[] = [
     { key: guardKey(templateName), value: name },
   ];
   if (row) {
--- a/src/operators/diff.ts
+++ b/src/operators/diff.ts
@@ -1,45 +1,50 @@
-/** Shows what a change changes, a line for each path. */
+/** Compares two JSON-like values path by path. */
 
-/** One path that differs. */
+/** A path whose values differ. */
 export type Difference = {
   readonly path: string;
   readonly before: string;
   readonly after: string;
 };
 
-/** What stands where one side has nothing. */
-const NOTHING = "(none)";
+/** Shown when a path exists on the other side only. */
+const ABSENT = "(none)";
 
-/** The paths where two values differ. */
-export function differences(before: unknown, after: unknown): Difference[] {
-  const old = flatten(before);
-  const fresh = flatten(after);
-  const paths = new Set([...old.keys(), ...fresh.keys()]);
+/** Returns the differing paths of two values, sorted. */
+export function diffValues(before: unknown, after: unknown): Difference[] {
+  const oldValues = flatten(before);
+  const newValues = flatten(after);
+  const paths = new Set([...oldValues.keys(), ...newValues.keys()]);
   return [...paths].sort().flatMap((path) => {
-    const was = old.get(path) ?? NOTHING;
-    const is = fresh.get(path) ?? NOTHING;
-    return was === is ? [] : [{ path, before: was, after: is }];
+    const oldText = oldValues.get(path) ?? ABSENT;
+    const newText = newValues.get(path) ?? ABSENT;
+    return oldText === newText
+      ? []
+      : [{ path, before: oldText, after: newText }];
   });
 }
 
+/** Maps the path of each leaf to its JSON text; arrays count as leaves. */
 function flatten(value: unknown, path = ""): Map<string, string> {
-  const found = new Map<string, string>();
-  if (value === undefined || value === null) return found;
+  const leaves = new Map<string, string>();
+  if (value === undefined || value === null) return leaves;
   if (typeof value !== "object" || Array.isArray(value)) {
-    found.set(path, JSON.stringify(value));
-    return found;
+    leaves.set(path, JSON.stringify(value));
+    return leaves;
   }
   for (const [key, inner] of Object.entries(value)) {
-    const place = path === "" ? key : `${path}.${key}`;
-    for (const [its, text] of flatten(inner, place)) found.set(its, text);
+    const innerPath = path === "" ? key : `${path}.${key}`;
+    for (const [leaf, text] of flatten(inner, innerPath)) {
+      leaves.set(leaf, text);
+    }
   }
-  return found;
+  return leaves;
 }
 
-/** Differences as lines of text. */
-export function differenceText(lines: readonly Difference[]): string {
-  if (lines.length === 0) return "no difference";
-  return lines
+/** Formats differences as text, one line each. */
+export function formatDifferences(entries: readonly Difference[]): string {
+  if (entries.length === 0) return "no difference";
+  return entries
     .map(({ path, before, after }) => `${path}: ${before} -> ${after}`)
     .join("\n");
 }
--- a/src/operators/publish.ts
+++ b/src/operators/publish.ts
@@ -1,49 +1,53 @@
 /**
- * Publishes one settings row: compare-and-set on its revision, with a change
- * row of a unique id, so that a lost answer is resolved by reading back.
+ * Publishes a settings row by compare-and-set on its revision. The same write
+ * adds a change record with a unique id. When the response is lost, reading
+ * that record shows whether the write took effect.
  */
 import { RowKey } from "../core/mod.ts";
-import type { Store, StoredChange, StoredRow } from "./store.ts";
+import type { ConditionalChange, Store, StoredRow } from "./store.ts";
 
-/** Prefix of the rows that record changes. */
+/** Key prefix of change records. */
 export const CHANGE_PREFIX = "changes/";
-/** Times that a lost write is tried again. */
-const TRIES = 4;
+const MAX_WRITE_ATTEMPTS = 4;
 
-/** One change of one settings row. */
+/** A change of one settings row. */
 export type Change = {
-  /** Unique; the same for all tries. */
+  /** Unique; the same for all write attempts. */
   readonly id: string;
   readonly key: string;
   /** Null removes the row. */
   readonly value: string | null;
-  /** Revision that the change was made against; 0 for a new row. */
+  /** Revision that the change is based on; 0 for a new row. */
   readonly base: number;
   readonly author: string;
-  /** Wall time in milliseconds. */
+  /** Wall-clock time in milliseconds. */
   readonly at: number;
-  /** Rows that must be as they were when the change was checked. */
-  readonly guards: readonly StoredChange[];
+  /**
+   * Written in the same transaction. A guard with a revision makes the write
+   * fail if its row has changed since the change was checked.
+   */
+  readonly guards: readonly ConditionalChange[];
 };
 
-/** What a publish came to. */
+/** Outcome of a publish. */
 export type Published =
   | {
     readonly type: "accepted";
     readonly version: number;
-    /** An answer was lost and the outcome was read back. */
+    /** A response was lost and the outcome was read back from the store. */
     readonly resolved: boolean;
   }
   | {
     readonly type: "conflict";
-    /** The row as it is now; absent: another row stood in the way. */
+    /** The current row under the change's key; absent if it doesn't exist. */
     readonly theirs?: StoredRow;
+    /** Keys of the rows whose conditions failed. */
     readonly keys: readonly string[];
   }
-  /** It can't be told now; `id` can be looked up later. */
+  /** The store did not confirm the write; look up `id` later. */
   | { readonly type: "unknown"; readonly id: string };
 
-/** What a change row holds. */
+/** Value of a change record, stored as JSON. */
 export type ChangeRecord = {
   readonly key: string;
   readonly value: string | null;
@@ -52,26 +56,30 @@
   readonly at: number;
 };
 
-/** Publishes a change. */
+/** Publishes a change; retries writes whose response was lost. */
 export async function publish(
   store: Store,
   change: Change,
 ): Promise<Published> {
-  let lost = false;
-  for (let tries = 0; tries < TRIES; tries += 1) {
-    const outcome = await store.write(rowsOf(change));
+  let responseLost = false;
+  for (let attempt = 0; attempt < MAX_WRITE_ATTEMPTS; attempt += 1) {
+    const outcome = await store.write(toConditionalChanges(change));
     if (outcome.type === "written") {
-      return { type: "accepted", version: outcome.revision, resolved: lost };
+      return {
+        type: "accepted",
+        version: outcome.revision,
+        resolved: responseLost,
+      };
     }
     if (outcome.type === "conflict") {
-      return await settleConflict(store, change, outcome.keys);
+      return await resolveConflict(store, change, outcome.keys);
     }
-    lost = true;
+    responseLost = true;
   }
   return await readBack(store, change);
 }
 
-function rowsOf(change: Change): StoredChange[] {
+function toConditionalChanges(change: Change): ConditionalChange[] {
   const { id, key, value, base, author, at, guards } = change;
   const record: ChangeRecord = { key, value, base, author, at };
   return [
@@ -85,8 +93,8 @@
   ];
 }
 
-/** A conflict may be with our own earlier try. */
-async function settleConflict(
+/** A conflict on the change record means that an earlier attempt succeeded. */
+async function resolveConflict(
   store: Store,
   change: Change,
   keys: readonly string[],
@@ -108,22 +116,25 @@
   }
 }
 
-/** One row; undefined when it does not exist. */
+/** Reads one row; undefined when it does not exist. */
 export async function readRow(
   store: Store,
   key: string,
 ): Promise<StoredRow | undefined> {
   const rows = await store.read(key);
-  const row = rows.find((one) => one.key === key);
+  const row = rows.find((candidate) => candidate.key === key);
   return row?.value === null ? undefined : row;
 }
 
-/** The row that every customer of a template touches when it changes. */
+/**
+ * Key of a template's guard row. Every publish of one of its customers writes
+ * this row, so that a concurrent publish of the template conflicts.
+ */
 export function guardKey(template: string): string {
   return `guards/${template}`;
 }
 
-/** The key of an upstream's planned stop. */
+/** Key of the row for an upstream's planned stop. */
 export function stopKey(upstream: string): string {
   return RowKey.stop + upstream;
 }
--- a/src/operators/reach.ts
+++ b/src/operators/reach.ts
@@ -1,4 +1,4 @@
-/** Ways to the settings rows: the platform itself, or any entry host. */
+/** Store clients for operator tools: directly to the platform or through a host. */
 import {
   callControl,
   type ControlTarget,
@@ -6,7 +6,7 @@
 } from "../shell/mod.ts";
 import type { Store } from "./store.ts";
 
-/** The platform as a store. */
+/** Creates a store client that calls the platform directly. */
 export function platformStore(address: string, timeoutMs: number): Store {
   const client = new PlatformClient({ address, timeoutMs });
   return {
@@ -22,15 +22,17 @@
 }
 
 /**
- * An entry host as a store: settings rows are those in force there, and
- * writes are passed on to the platform.
+ * Creates a store client that calls an entry host. Reads return the settings
+ * rows in force on that host; the host forwards writes to the platform.
  */
 export function hostStore(target: ControlTarget): Store {
   return {
     read: async (prefix) => {
       const value = { prefix };
       const answer = await callControl(target, { $case: "rows", value });
-      if (answer.$case !== "rows") throw new Error("An answer of another kind");
+      if (answer.$case !== "rows") {
+        throw new Error("unexpected kind of control response to a rows call");
+      }
       return answer.value.rows.map((row) => ({
         key: row.key,
         revision: row.version,
@@ -39,10 +41,11 @@
     },
     write: async (changes) => {
       const value = {
-        changes: changes.map((one) => ({
-          key: one.key,
-          value: one.value === undefined ? undefined : one.value ?? "",
-          ifRevision: one.ifRevision,
+        changes: changes.map((change) => ({
+          key: change.key,
+          // On this protocol, an empty value removes the row.
+          value: change.value === undefined ? undefined : change.value ?? "",
+          ifRevision: change.ifRevision,
         })),
       };
       try {
--- a/src/operators/store.ts
+++ b/src/operators/store.ts
@@ -1,14 +1,14 @@
-/** Where operators' programs read and write settings rows. */
+/** Store interface through which operator tools read and write settings rows. */
 
-/** A row of the platform's table. */
+/** A row of the platform's settings table. */
 export type StoredRow = {
   readonly key: string;
   readonly revision: number;
   readonly value: string | null;
 };
 
-/** One conditional change. */
-export type StoredChange = {
+/** A change of one row, applied only if its condition holds. */
+export type ConditionalChange = {
   readonly key: string;
   /** Null removes the row; absent: the row is only checked. */
   readonly value?: string | null;
@@ -16,16 +16,17 @@
   readonly ifRevision?: number;
 };
 
-/** What a write came to. */
-export type StoreOutcome =
+/** Outcome of a write. */
+export type WriteOutcome =
   | { readonly type: "written"; readonly revision: number }
   | { readonly type: "conflict"; readonly keys: readonly string[] }
-  /** No answer: it may or may not have taken effect. */
+  /** No response: the write may or may not have taken effect. */
   | { readonly type: "lost" };
 
-/** The platform itself, or an entry host that passes calls on. */
+/** The platform, or an entry host that forwards calls to it. */
 export type Store = {
-  /** All rows under a prefix; rejects when there is no answer. */
+  /** Reads all rows under a prefix; rejects when the store does not respond. */
   read(prefix: string): Promise<readonly StoredRow[]>;
-  write(changes: readonly StoredChange[]): Promise<StoreOutcome>;
+  /** Applies all changes, or none if a condition fails. */
+  write(changes: readonly ConditionalChange[]): Promise<WriteOutcome>;
 };
--- a/src/programs/burn/main.ts
+++ b/src/programs/burn/main.ts
@@ -7,8 +7,8 @@
 import { makeCommand, runProgram } from "../common/command.ts";
 import { ExitCode } from "../common/exit_code.ts";
 import { mergeBurn } from "./merge.ts";
-import { burnPage } from "./page.ts";
-import { burnText } from "./text.ts";
+import { renderBurnPage } from "./page.ts";
+import { formatBurnTable } from "./text.ts";
 
 const EXAMPLES = `
 Examples:
@@ -58,9 +58,12 @@
     }
   }
   const rows = mergeBurn(windows, flags.objective);
-  console.log(flags.json ? JSON.stringify(rows) : burnText(rows));
+  console.log(flags.json ? JSON.stringify(rows) : formatBurnTable(rows));
   if (flags.html !== undefined) {
-    writeFileSync(flags.html, burnPage(rows, flags.objective, new Date()));
+    writeFileSync(
+      flags.html,
+      renderBurnPage(rows, flags.objective, new Date()),
+    );
   }
   if (silent === addresses.length) process.exitCode = ExitCode.failure;
   else if (silent > 0) process.exitCode = ExitCode.unknown;
--- a/src/programs/burn/merge.ts
+++ b/src/programs/burn/merge.ts
@@ -20,9 +20,9 @@
 };
 
 /** Histograms count microseconds. */
-const MICROS = 1000;
+const MICROSECONDS_PER_MS = 1000;
 
-type Merged = {
+type MergedWindow = {
   readonly customer: string;
   readonly service: string;
   readonly windowMs: number;
@@ -37,21 +37,24 @@
   windows: readonly BurnWindow[],
   objective: number,
 ): BurnRow[] {
-  const merged = new Map<string, Merged>();
-  for (const window of windows) mergeOne(merged, window);
+  const merged = new Map<string, MergedWindow>();
+  for (const window of windows) addWindow(merged, window);
   return [...merged.values()].map((one) => ({
     customer: one.customer,
     service: one.service,
     windowMs: one.windowMs,
     requests: one.requests,
     good: one.good,
-    burn: burnOf(one, objective),
+    burn: burnRate(one, objective),
     firstToken: percentiles(one.firstToken),
     betweenTokens: percentiles(one.betweenTokens),
   }));
 }
 
-function mergeOne(merged: Map<string, Merged>, window: BurnWindow): void {
+function addWindow(
+  merged: Map<string, MergedWindow>,
+  window: BurnWindow,
+): void {
   const { customer, service, windowMs } = window;
   const name = `${customer} ${service} ${windowMs}`;
   const row = merged.get(name) ?? {
@@ -65,8 +68,8 @@
   };
   row.requests += window.requests;
   row.good += window.good;
-  add(row.firstToken, window.firstToken);
-  add(row.betweenTokens, window.betweenTokens);
+  addEncoded(row.firstToken, window.firstToken);
+  addEncoded(row.betweenTokens, window.betweenTokens);
   merged.set(name, row);
 }
 
@@ -74,18 +77,18 @@
   return hdr.build({ autoResize: true, numberOfSignificantValueDigits: 2 });
 }
 
-function add(histogram: Histogram, encoded: string): void {
+function addEncoded(histogram: Histogram, encoded: string): void {
   if (encoded === "") return;
   histogram.add(hdr.decodeFromCompressedBase64(encoded));
 }
 
 function percentiles(histogram: Histogram): Percentiles {
   const at = (share: number): number =>
-    histogram.getValueAtPercentile(share) / MICROS;
+    histogram.getValueAtPercentile(share) / MICROSECONDS_PER_MS;
   return [at(50), at(95), at(99)];
 }
 
-function burnOf(one: Merged, objective: number): number {
+function burnRate(one: MergedWindow, objective: number): number {
   if (one.requests === 0) return 0;
   return (1 - one.good / one.requests) / (1 - objective);
 }
--- a/src/programs/burn/page.ts
+++ b/src/programs/burn/page.ts
@@ -1,12 +1,12 @@
 /** The burn report as an HTML page with plots. */
 import type { BurnRow } from "./merge.ts";
-import { goodShare, windowName } from "./text.ts";
+import { formatGoodShare, formatWindow } from "./text.ts";
 
 const BAR_WIDTH = 260;
 const BAR_HEIGHT = 14;
 /** A burn of this much fills a bar. */
-const FULL_BURN = 4;
-const COLOURS = { calm: "#2e7d5b", fast: "#c77800", gone: "#b3261e" };
+const MAX_BAR_BURN = 4;
+const BAR_COLOURS = { calm: "#2e7d5b", fast: "#c77800", gone: "#b3261e" };
 
 const STYLE = `
 body { font: 15px/1.45 system-ui, sans-serif; margin: 2rem auto;
@@ -19,7 +19,7 @@
 p { max-width: 44rem; }`;
 
 /** The page. */
-export function burnPage(
+export function renderBurnPage(
   rows: readonly BurnRow[],
   objective: number,
   now: Date,
@@ -33,47 +33,47 @@
 <h1>Service-level burn</h1>
 <p>${now.toISOString()}. Objective: ${share}% of requests meet both latency
 targets of their customer. A burn of 1 uses the budget up exactly at the end
-of its period; the bars end at ${FULL_BURN}.</p>
+of its period; the bars end at ${MAX_BAR_BURN}.</p>
 <table>
 <tr><th>customer</th><th>service</th><th>window</th>
 <th class="number">requests</th><th class="number">good</th><th>burn</th>
 <th>first token p50 / p95 / p99<br>since the hosts' start</th></tr>
-${rows.map(rowHtml).join("\n")}
+${rows.map(renderRow).join("\n")}
 </table>
 </body>
 </html>
 `;
 }
 
-function rowHtml(row: BurnRow): string {
+function renderRow(row: BurnRow): string {
   const first = row.firstToken.map((one) => one.toFixed(0)).join(" / ");
-  return `<tr><td>${escaped(row.customer)}</td>
-<td>${escaped(row.service)}</td><td>${windowName(row.windowMs)}</td>
+  return `<tr><td>${escapeHtml(row.customer)}</td>
+<td>${escapeHtml(row.service)}</td><td>${formatWindow(row.windowMs)}</td>
 <td class="number">${row.requests}</td>
-<td class="number">${goodShare(row)}</td>
-<td>${bar(row.burn)}</td><td>${first} ms</td></tr>`;
+<td class="number">${formatGoodShare(row)}</td>
+<td>${renderBar(row.burn)}</td><td>${first} ms</td></tr>`;
 }
 
-function bar(burn: number): string {
-  const width = Math.min(1, burn / FULL_BURN) * BAR_WIDTH;
-  const mark = BAR_WIDTH / FULL_BURN;
+function renderBar(burn: number): string {
+  const width = Math.min(1, burn / MAX_BAR_BURN) * BAR_WIDTH;
+  const mark = BAR_WIDTH / MAX_BAR_BURN;
   const label = burn.toFixed(2);
   return `<svg width="${BAR_WIDTH + 50}" height="${BAR_HEIGHT + 4}"
  role="img" aria-label="burn ${label}">
 <rect x="0" y="2" width="${BAR_WIDTH}" height="${BAR_HEIGHT}" fill="#eee"/>
 <rect x="0" y="2" width="${width.toFixed(1)}" height="${BAR_HEIGHT}"
- fill="${colourOf(burn)}"/>
+ fill="${barColour(burn)}"/>
 <line x1="${mark}" x2="${mark}" y1="0" y2="${BAR_HEIGHT + 4}"
  stroke="#1c1c1c"/>
 <text x="${BAR_WIDTH + 6}" y="${BAR_HEIGHT}" font-size="12">${label}</text>
 </svg>`;
 }
 
-function colourOf(burn: number): string {
-  if (burn <= 1) return COLOURS.calm;
-  return burn <= 2 ? COLOURS.fast : COLOURS.gone;
+function barColour(burn: number): string {
+  if (burn <= 1) return BAR_COLOURS.calm;
+  return burn <= 2 ? BAR_COLOURS.fast : BAR_COLOURS.gone;
 }
 
-function escaped(text: string): string {
+function escapeHtml(text: string): string {
   return text.replaceAll("&", "&amp;").replaceAll("<", "&lt;");
 }
--- a/src/programs/burn/text.ts
+++ b/src/programs/burn/text.ts
@@ -1,11 +1,11 @@
 /** The burn report as text. */
-import { textTable } from "../ctl/table.ts";
+import { formatTable } from "../ctl/table.ts";
 import type { BurnRow, Percentiles } from "./merge.ts";
 
 /** The report as a table. */
-export function burnText(rows: readonly BurnRow[]): string {
+export function formatBurnTable(rows: readonly BurnRow[]): string {
   if (rows.length === 0) return "no requests so far";
-  return textTable(
+  return formatTable(
     [
       "customer",
       "service",
@@ -19,28 +19,28 @@
     rows.map((row) => [
       row.customer,
       row.service,
-      windowName(row.windowMs),
+      formatWindow(row.windowMs),
       String(row.requests),
-      goodShare(row),
+      formatGoodShare(row),
       row.burn.toFixed(2),
-      triple(row.firstToken),
-      triple(row.betweenTokens),
+      formatPercentiles(row.firstToken),
+      formatPercentiles(row.betweenTokens),
     ]),
   );
 }
 
 /** A window's length for people. */
-export function windowName(span: number): string {
+export function formatWindow(span: number): string {
   const minutes = span / 60_000;
   return minutes < 60 ? `${minutes} min` : `${minutes / 60} h`;
 }
 
 /** The share of good requests for people. */
-export function goodShare(row: BurnRow): string {
+export function formatGoodShare(row: BurnRow): string {
   if (row.requests === 0) return "-";
   return `${(row.good / row.requests * 100).toFixed(1)}%`;
 }
 
-function triple(its: Percentiles): string {
+function formatPercentiles(its: Percentiles): string {
   return its.map((one) => one.toFixed(1)).join(" / ");
 }
--- a/src/programs/common/command.ts
+++ b/src/programs/common/command.ts
@@ -8,7 +8,7 @@
 /** Makes a program's command with its version and its exit codes. */
 export function makeCommand(name: string, description: string): Command {
   const command = new Command(name);
-  command.description(description).version(version());
+  command.description(description).version(packageVersion());
   command.exitOverride((error) => {
     process.exit(error.exitCode === 0 ? ExitCode.ok : ExitCode.usage);
   });
@@ -16,7 +16,7 @@
 }
 
 /** The version in the nearest package.json above this file, or bundle. */
-function version(): string {
+function packageVersion(): string {
   let folder = new URL(".", import.meta.url);
   for (;;) {
     const file = new URL("package.json", folder);
--- a/src/programs/ctl/context.ts
+++ b/src/programs/ctl/context.ts
@@ -14,7 +14,7 @@
 import { ExitCode } from "../common/exit_code.ts";
 
 /** Flags of all commands. */
-export type Flags = {
+export type GlobalFlags = {
   readonly platform?: string;
   readonly host?: string[];
   readonly json?: boolean;
@@ -23,13 +23,13 @@
 };
 
 /** A call to an entry host is given up after this. */
-const CALL_MS = 3000;
+const CONTROL_CALL_TIMEOUT_MS = 3000;
 /** A call to the platform is given up after this. */
-const PLATFORM_MS = 2000;
+const PLATFORM_CALL_TIMEOUT_MS = 2000;
 
 /** What a command works with. */
-export type Context = {
-  readonly flags: Flags;
+export type CommandContext = {
+  readonly flags: GlobalFlags;
   readonly hosts: readonly ControlTarget[];
   /** The platform, or the first entry host; ends the program without both. */
   readonly store: Store;
@@ -38,28 +38,31 @@
 };
 
 /** The context of a command. */
-export function contextOf(command: Command): Context {
-  const flags = command.optsWithGlobals<Flags>();
+export function createContext(command: Command): CommandContext {
+  const flags = command.optsWithGlobals<GlobalFlags>();
   const key = process.env["OTTERHILL_OPERATOR_KEY"] ?? "";
   const hosts = (flags.host ?? []).map((address) => ({
     address,
     keyHash: sha256(key),
-    timeoutMs: CALL_MS,
+    timeoutMs: CONTROL_CALL_TIMEOUT_MS,
   }));
   return {
     flags,
     hosts,
     get store() {
-      return storeOf(flags, hosts);
+      return createStore(flags, hosts);
     },
     show: (text, value) =>
       console.log(flags.json ? JSON.stringify(value) : text),
   };
 }
 
-function storeOf(flags: Flags, hosts: readonly ControlTarget[]): Store {
+function createStore(
+  flags: GlobalFlags,
+  hosts: readonly ControlTarget[],
+): Store {
   if (flags.platform !== undefined) {
-    return platformStore(flags.platform, PLATFORM_MS);
+    return platformStore(flags.platform, PLATFORM_CALL_TIMEOUT_MS);
   }
   const [first] = hosts;
   if (first) return hostStore(first);
@@ -68,12 +71,12 @@
 }
 
 /** What a command wants to change. */
-export type Wish = Pick<Change, "key" | "value" | "base" | "guards">;
+export type RowChange = Pick<Change, "key" | "value" | "base" | "guards">;
 
 /** Publishes a change, tells how it went and sets the exit code. */
-export async function publishAndTell(
-  context: Context,
-  wish: Wish,
+export async function publishAndReport(
+  context: CommandContext,
+  wish: RowChange,
 ): Promise<void> {
   const outcome = await publish(context.store, {
     ...wish,
@@ -81,7 +84,7 @@
     author: context.flags.author ?? userInfo().username,
     at: Date.now(),
   });
-  context.show(outcomeText(wish, outcome), outcome);
+  context.show(formatOutcome(wish, outcome), outcome);
   process.exitCode = exitCodeOf(outcome);
 }
 
@@ -96,7 +99,7 @@
   }
 }
 
-function outcomeText(wish: Wish, outcome: Published): string {
+function formatOutcome(wish: RowChange, outcome: Published): string {
   switch (outcome.type) {
     case "accepted": {
       const how = outcome.resolved ? " (an answer was lost; read back)" : "";
@@ -114,8 +117,8 @@
 }
 
 /** Prints faults and sets the exit code; true when there were some. */
-export function tellFaults(
-  context: Context,
+export function reportFaults(
+  context: CommandContext,
   faults: readonly string[],
 ): boolean {
   if (faults.length === 0) return false;
--- a/src/programs/ctl/customer.ts
+++ b/src/programs/ctl/customer.ts
@@ -2,14 +2,14 @@
 import type { Command } from "commander";
 import { type Customer, RowKey } from "../../core/mod.ts";
 import { checkCustomer } from "../../operators/checks.ts";
-import { differences, differenceText } from "../../operators/diff.ts";
+import { diffValues, formatDifferences } from "../../operators/diff.ts";
 import { readRow } from "../../operators/publish.ts";
 import { sha256 } from "../../util/sha256.ts";
 import {
-  type Context,
-  contextOf,
-  publishAndTell,
-  tellFaults,
+  type CommandContext,
+  createContext,
+  publishAndReport,
+  reportFaults,
 } from "./context.ts";
 import { showHistory, showRows } from "./rows.ts";
 
@@ -20,7 +20,7 @@
 };
 
 /** Adds the customer commands. */
-export function addCustomer(program: Command): void {
+export function addCustomerCommands(program: Command): void {
   const customer = program.command("customer")
     .description("customers and their parameters");
   customer.command("set <name> [parameters...]")
@@ -35,23 +35,23 @@
         flags: SetFlags,
         command: Command,
       ) => {
-        await setCustomer(contextOf(command), name, parameters, flags);
+        await setCustomer(createContext(command), name, parameters, flags);
       },
     );
   customer.command("show [name]")
     .description("customers in force")
     .action((name: string | undefined, _: unknown, command: Command) =>
-      showRows(contextOf(command), RowKey.customer, name)
+      showRows(createContext(command), RowKey.customer, name)
     );
   customer.command("history <name>")
     .description("changes of a customer")
     .action((name: string, _: unknown, command: Command) =>
-      showHistory(contextOf(command), RowKey.customer + name)
+      showHistory(createContext(command), RowKey.customer + name)
     );
 }
 
 async function setCustomer(
-  context: Context,
+  context: CommandContext,
   name: string,
   parameters: readonly string[],
   flags: SetFlags,
@@ -73,11 +73,11 @@
     ],
   };
   const checked = await checkCustomer(context.store, after);
-  if (tellFaults(context, checked.faults)) return;
+  if (reportFaults(context, checked.faults)) return;
   if (!context.flags.json) {
-    console.log(differenceText(differences(row ? before : null, after)));
+    console.log(formatDifferences(diffValues(row ? before : null, after)));
   }
-  await publishAndTell(context, {
+  await publishAndReport(context, {
     key: RowKey.customer + name,
     value: JSON.stringify(after),
     base: flags.base === undefined ? row?.revision ?? 0 : Number(flags.base),
--- a/src/programs/ctl/fleet_versions.ts
+++ b/src/programs/ctl/fleet_versions.ts
@@ -13,36 +13,36 @@
 };
 
 /** Reads a host's metrics; undefined where they name no versions. */
-export function versionsIn(
+export function parseHostVersions(
   address: string,
   page: string,
 ): HostVersions | undefined {
   const settings = /^otterhill_settings_info\{version="([^"]+)"\} 1$/m
     .exec(page)?.[1];
-  const routes = gauge(page, "routes_version");
+  const routes = parseGauge(page, "routes_version");
   if (settings === undefined || routes === undefined) return undefined;
   return {
     address,
     settings,
-    settingsAgeSeconds: gauge(page, "settings_age_seconds") ?? 0,
-    reloadsRefused: gauge(page, "settings_reloads_refused") ?? 0,
+    settingsAgeSeconds: parseGauge(page, "settings_age_seconds") ?? 0,
+    reloadsRefused: parseGauge(page, "settings_reloads_refused") ?? 0,
     routes: String(routes),
   };
 }
 
-function gauge(page: string, name: string): number | undefined {
+function parseGauge(page: string, name: string): number | undefined {
   const value = new RegExp(`^otterhill_${name} (\\S+)$`, "m").exec(page)?.[1];
   return value === undefined ? undefined : Number(value);
 }
 
 /** A fleet in a few lines: the usual version, and the hosts without it. */
-export function fleetText(
+export function formatFleetVersions(
   hosts: readonly HostVersions[],
   silent: readonly string[],
 ): string {
   const lines = [
-    summary("settings", hosts, (one) => one.settings),
-    summary("routes", hosts, (one) => one.routes),
+    formatVersionSummary("settings", hosts, (one) => one.settings),
+    formatVersionSummary("routes", hosts, (one) => one.routes),
   ];
   for (const { address, reloadsRefused } of hosts) {
     if (reloadsRefused === 0) continue;
@@ -52,7 +52,7 @@
   return lines.join("\n");
 }
 
-function summary(
+function formatVersionSummary(
   what: string,
   hosts: readonly HostVersions[],
   versionOf: (host: HostVersions) => string,
--- a/src/programs/ctl/main.ts
+++ b/src/programs/ctl/main.ts
@@ -1,12 +1,12 @@
 #!/usr/bin/env node
 /** otterhillctl: the operators' command. */
 import { makeCommand, runProgram } from "../common/command.ts";
-import { addCustomer } from "./customer.ts";
-import { addSplit } from "./split.ts";
-import { addStatus } from "./status.ts";
-import { addStop } from "./stop.ts";
-import { addTemplate } from "./template.ts";
-import { addVersions } from "./versions.ts";
+import { addCustomerCommands } from "./customer.ts";
+import { addSplitCommands } from "./split.ts";
+import { addStatusCommands } from "./status.ts";
+import { addStopCommands } from "./stop.ts";
+import { addTemplateCommands } from "./template.ts";
+import { addVersionsCommand } from "./versions.ts";
 
 const EXAMPLES = `
 Examples:
@@ -34,12 +34,12 @@
   .option("--author <name>", "name kept with changes")
   .option("--json", "print JSON")
   .addHelpText("after", EXAMPLES);
-addTemplate(program);
-addCustomer(program);
-addStop(program);
-addSplit(program);
-addStatus(program);
-addVersions(program);
+addTemplateCommands(program);
+addCustomerCommands(program);
+addStopCommands(program);
+addSplitCommands(program);
+addStatusCommands(program);
+addVersionsCommand(program);
 await runProgram(async () => {
   await program.parseAsync();
 });
--- a/src/programs/ctl/rows.ts
+++ b/src/programs/ctl/rows.ts
@@ -1,11 +1,11 @@
 /** Shows rows in force and their history. */
 import { CHANGE_PREFIX, type ChangeRecord } from "../../operators/publish.ts";
-import type { Context } from "./context.ts";
-import { textTable } from "./table.ts";
+import type { CommandContext } from "./context.ts";
+import { formatTable } from "./table.ts";
 
 /** Shows one row, or all under a prefix. */
 export async function showRows(
-  context: Context,
+  context: CommandContext,
   prefix: string,
   name?: string,
 ): Promise<void> {
@@ -19,7 +19,7 @@
       value: JSON.parse(row.value ?? "null") as unknown,
     }));
   const text = name === undefined
-    ? textTable(
+    ? formatTable(
       ["name", "version"],
       rows.map((row) => [row.name, String(row.version)]),
     )
@@ -31,7 +31,7 @@
 
 /** Shows the changes of a row, oldest first. */
 export async function showHistory(
-  context: Context,
+  context: CommandContext,
   key: string,
 ): Promise<void> {
   const rows = await context.store.read(CHANGE_PREFIX);
@@ -39,7 +39,7 @@
     const record = JSON.parse(row.value ?? "{}") as ChangeRecord;
     return record.key === key ? [{ version: row.revision, ...record }] : [];
   });
-  const text = textTable(
+  const text = formatTable(
     ["version", "when", "who", "value"],
     changes.map((one) => [
       String(one.version),
--- a/src/programs/ctl/split.ts
+++ b/src/programs/ctl/split.ts
@@ -3,39 +3,39 @@
 import { RowKey, SplitSchema } from "../../core/mod.ts";
 import { readRow } from "../../operators/publish.ts";
 import {
-  type Context,
-  contextOf,
-  publishAndTell,
-  tellFaults,
+  type CommandContext,
+  createContext,
+  publishAndReport,
+  reportFaults,
 } from "./context.ts";
 import { showRows } from "./rows.ts";
 
 type SetFlags = { readonly prefill?: string };
 
 /** Adds the split commands. */
-export function addSplit(program: Command): void {
+export function addSplitCommands(program: Command): void {
   const split = program.command("split")
     .description("a service's split between prefill and decode upstreams");
   split.command("set <service>")
     .description("change the split; without --prefill it follows the load")
     .option("--prefill <count>", "upstreams that do prefill")
     .action(async (service: string, flags: SetFlags, command: Command) => {
-      await setSplit(contextOf(command), service, flags);
+      await setSplit(createContext(command), service, flags);
     });
   split.command("leave <service>")
     .description("leave the split as it is from now on")
     .action(async (service: string, _: unknown, command: Command) => {
-      await publishSplit(contextOf(command), service, null);
+      await publishSplit(createContext(command), service, null);
     });
   split.command("show [service]")
     .description("splits in force")
     .action((service: string | undefined, _: unknown, command: Command) =>
-      showRows(contextOf(command), RowKey.split, service)
+      showRows(createContext(command), RowKey.split, service)
     );
 }
 
 async function setSplit(
-  context: Context,
+  context: CommandContext,
   service: string,
   flags: SetFlags,
 ): Promise<void> {
@@ -44,17 +44,17 @@
   const parsed = SplitSchema.safeParse(value);
   const faults = parsed.error?.issues
     .map((issue) => `--${issue.path.join(".")}: ${issue.message}`) ?? [];
-  if (tellFaults(context, faults)) return;
+  if (reportFaults(context, faults)) return;
   await publishSplit(context, service, JSON.stringify(value));
 }
 
 async function publishSplit(
-  context: Context,
+  context: CommandContext,
   service: string,
   value: string | null,
 ): Promise<void> {
   const key = RowKey.split + service;
   const row = await readRow(context.store, key);
   const base = row?.revision ?? 0;
-  await publishAndTell(context, { key, value, base, guards: [] });
+  await publishAndReport(context, { key, value, base, guards: [] });
 }
--- a/src/programs/ctl/status.ts
+++ b/src/programs/ctl/status.ts
@@ -5,16 +5,16 @@
 import type { ExplainLine, Status } from "../../messages/control.ts";
 import { callControl } from "../../shell/mod.ts";
 import { ExitCode } from "../common/exit_code.ts";
-import { type Context, contextOf } from "./context.ts";
-import { storyOf, storyText } from "./story.ts";
-import { textTable } from "./table.ts";
+import { type CommandContext, createContext } from "./context.ts";
+import { findRequestLines, formatRequestLines } from "./story.ts";
+import { formatTable } from "./table.ts";
 
 /** Adds both commands. */
-export function addStatus(program: Command): void {
+export function addStatusCommands(program: Command): void {
   program.command("status")
     .description("halls, hosts, upstreams and the versions in force")
     .action(async (_: unknown, command: Command) => {
-      await showStatus(contextOf(command));
+      await showStatus(createContext(command));
     });
   program.command("explain <request> [logs...]")
     .description(
@@ -28,15 +28,17 @@
         _: unknown,
         command: Command,
       ) => {
-        const context = contextOf(command);
-        if (context.hosts.length > 0) return await explain(context, request);
+        const context = createContext(command);
+        if (context.hosts.length > 0) {
+          return await explainFromHosts(context, request);
+        }
         await explainFromLogs(context, request, logs);
       },
     );
 }
 
 async function explainFromLogs(
-  context: Context,
+  context: CommandContext,
   request: string,
   files: readonly string[],
 ): Promise<void> {
@@ -49,13 +51,13 @@
       if (line.includes(request)) lines.push(line);
     }
   }
-  const story = storyOf(lines, request);
+  const story = findRequestLines(lines, request);
   if (story.length === 0) process.exitCode = ExitCode.failure;
   const none = `No line names the request ${request}`;
-  context.show(story.length > 0 ? storyText(story) : none, { story });
+  context.show(story.length > 0 ? formatRequestLines(story) : none, { story });
 }
 
-async function showStatus(context: Context): Promise<void> {
+async function showStatus(context: CommandContext): Promise<void> {
   const statuses: Status[] = [];
   const failed: string[] = [];
   for (const target of context.hosts) {
@@ -66,14 +68,14 @@
       failed.push(error instanceof Error ? error.message : String(error));
     }
   }
-  const text = [statusText(statuses), ...failed.map((one) => `! ${one}`)];
+  const text = [formatStatuses(statuses), ...failed.map((one) => `! ${one}`)];
   context.show(text.join("\n"), { statuses, failed });
   if (statuses.length === 0) process.exitCode = ExitCode.failure;
   else if (failed.length > 0) process.exitCode = ExitCode.unknown;
 }
 
-function statusText(statuses: readonly Status[]): string {
-  const hosts = textTable(
+function formatStatuses(statuses: readonly Status[]): string {
+  const hosts = formatTable(
     ["host", "hall", "settings", "list", "platform", "requests", "not live"],
     statuses.map((one) => [
       one.host,
@@ -89,7 +91,7 @@
   const upstreams = statuses.flatMap((one) =>
     one.upstreams.filter((row) => row.planner === one.host)
   );
-  const rows = textTable(
+  const rows = formatTable(
     ["upstream", "hall", "service", "role", "planner", "state", "held"],
     upstreams.map((row) => [
       row.id,
@@ -97,21 +99,24 @@
       row.service,
       row.role,
       row.planner,
-      stateOf(row),
+      formatUpstreamState(row),
       `${row.held} of ${row.slots}`,
     ]),
   );
   return `${hosts}\n\n${rows}`;
 }
 
-function stateOf(row: Status["upstreams"][number]): string {
+function formatUpstreamState(row: Status["upstreams"][number]): string {
   if (row.stopPlanned) return "stop planned";
   if (!row.accepting) return "leaving";
   if (row.reportedMs < 0) return "no report";
   return `reported ${Math.round(row.reportedMs)} ms ago`;
 }
 
-async function explain(context: Context, request: string): Promise<void> {
+async function explainFromHosts(
+  context: CommandContext,
+  request: string,
+): Promise<void> {
   const lines: ExplainLine[] = [];
   for (const target of context.hosts) {
     try {
--- a/src/programs/ctl/stop.ts
+++ b/src/programs/ctl/stop.ts
@@ -3,36 +3,40 @@
 import { readRow, stopKey } from "../../operators/publish.ts";
 import { callControl } from "../../shell/mod.ts";
 import { ExitCode } from "../common/exit_code.ts";
-import { type Context, contextOf, publishAndTell } from "./context.ts";
+import {
+  type CommandContext,
+  createContext,
+  publishAndReport,
+} from "./context.ts";
 
 /** Time between two looks. */
-const WATCH_MS = 1000;
+const POLL_INTERVAL_MS = 1000;
 /** A stop just planned may not be seen by the host asked until then. */
-const IN_FORCE_MS = 12_000;
+const STOP_PROPAGATION_TIMEOUT_MS = 12_000;
 
 /** Adds the stop commands. */
-export function addStop(program: Command): void {
+export function addStopCommands(program: Command): void {
   const stop = program.command("stop")
     .description("planned stops of upstreams; nothing in progress is cut");
   stop.command("plan <upstream>")
     .description("give the upstream no new work")
     .action(async (upstream: string, _: unknown, command: Command) => {
-      await setStop(contextOf(command), upstream, true);
+      await setStop(createContext(command), upstream, true);
     });
   stop.command("cancel <upstream>")
     .description("give the upstream work again")
     .action(async (upstream: string, _: unknown, command: Command) => {
-      await setStop(contextOf(command), upstream, false);
+      await setStop(createContext(command), upstream, false);
     });
   stop.command("watch <upstream>")
     .description("wait until nothing runs there, by its own count")
     .action(async (upstream: string, _: unknown, command: Command) => {
-      await watch(contextOf(command), upstream);
+      await waitUntilIdle(createContext(command), upstream);
     });
 }
 
 async function setStop(
-  context: Context,
+  context: CommandContext,
   upstream: string,
   on: boolean,
 ): Promise<void> {
@@ -42,7 +46,7 @@
     return context.show(text, { upstream, planned: on });
   }
   const { author = "" } = context.flags;
-  await publishAndTell(context, {
+  await publishAndReport(context, {
     key: stopKey(upstream),
     value: on ? JSON.stringify({ author, at: Date.now() }) : null,
     base: row?.revision ?? 0,
@@ -50,19 +54,22 @@
   });
 }
 
-async function watch(context: Context, upstream: string): Promise<void> {
+async function waitUntilIdle(
+  context: CommandContext,
+  upstream: string,
+): Promise<void> {
   const from = Date.now();
   let seen = false;
   for (;;) {
     const row = await readRow(context.store, stopKey(upstream));
     seen ||= row !== undefined;
-    const late = Date.now() - from > IN_FORCE_MS;
+    const late = Date.now() - from > STOP_PROPAGATION_TIMEOUT_MS;
     if (!row && (seen || late)) {
       context.show("no stop is planned", { upstream, planned: false });
       process.exitCode = ExitCode.failure;
       return;
     }
-    const { taking, held } = await look(context, upstream);
+    const { taking, held } = await pollHosts(context, upstream);
     if (row && taking.length === 0 && held === 0) {
       return context.show(
         `${upstream} holds nothing; it can be stopped`,
@@ -75,12 +82,12 @@
         : "";
       console.log(`${upstream} holds ${held ?? "(not reached)"}${late}`);
     }
-    await new Promise((resolve) => setTimeout(resolve, WATCH_MS));
+    await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
   }
 }
 
 /** Hosts that would still give it work, and what it holds. */
-async function look(context: Context, upstream: string) {
+async function pollHosts(context: CommandContext, upstream: string) {
   const taking: string[] = [];
   let held: number | undefined;
   for (const target of context.hosts) {
--- a/src/programs/ctl/story.ts
+++ b/src/programs/ctl/story.ts
@@ -1,7 +1,7 @@
 /** A request's story from the log lines of any number of hosts. */
 
 /** One line of a gateway's log that names the request. */
-export type StoryLine = {
+export type RequestLogLine = {
   /** ISO 8601, by the clock of its host. */
   readonly time: string;
   readonly host: string;
@@ -11,7 +11,7 @@
 };
 
 /** Fields of every line, which the story tells otherwise or not at all. */
-const COMMON: ReadonlySet<string> = new Set([
+const OMITTED_FIELDS: ReadonlySet<string> = new Set([
   "name",
   "host",
   "hostname",
@@ -25,19 +25,22 @@
 ]);
 
 /** The lines that name a request, by time; other lines are passed over. */
-export function storyOf(lines: Iterable<string>, request: string): StoryLine[] {
-  const story: StoryLine[] = [];
+export function findRequestLines(
+  lines: Iterable<string>,
+  request: string,
+): RequestLogLine[] {
+  const story: RequestLogLine[] = [];
   for (const line of lines) {
     if (!line.includes(request)) continue;
-    const read = readLine(line);
+    const read = parseLogLine(line);
     if (read?.["request"] !== request) continue;
-    story.push(storyLine(read));
+    story.push(toRequestLogLine(read));
   }
   return story.sort((a, b) => a.time < b.time ? -1 : a.time > b.time ? 1 : 0);
 }
 
 /** A line of JSON, whatever a log collector put before it. */
-function readLine(line: string): Record<string, unknown> | undefined {
+function parseLogLine(line: string): Record<string, unknown> | undefined {
   const start = line.indexOf("{");
   if (start < 0) return undefined;
   try {
@@ -50,8 +53,10 @@
   }
 }
 
-function storyLine(read: Record<string, unknown>): StoryLine {
-  const fields = Object.entries(read).filter(([name]) => !COMMON.has(name));
+function toRequestLogLine(read: Record<string, unknown>): RequestLogLine {
+  const fields = Object.entries(read).filter(([name]) =>
+    !OMITTED_FIELDS.has(name)
+  );
   return {
     time: String(read["time"] ?? ""),
     host: String(read["host"] ?? ""),
@@ -62,7 +67,7 @@
 }
 
 /** The story as text, one line an event. */
-export function storyText(story: readonly StoryLine[]): string {
+export function formatRequestLines(story: readonly RequestLogLine[]): string {
   return story.map((line) => {
     const fields = Object.entries(line.fields)
       .map(([name, value]) => `${name}=${String(value)}`);
--- a/src/programs/ctl/table.ts
+++ b/src/programs/ctl/table.ts
@@ -1,7 +1,7 @@
 /** Plain tables for people. */
 
 /** Rows under a head, columns as wide as they need. */
-export function textTable(
+export function formatTable(
   head: readonly string[],
   rows: readonly (readonly string[])[],
 ): string {
--- a/src/programs/ctl/versions.ts
+++ b/src/programs/ctl/versions.ts
@@ -1,44 +1,50 @@
 /** otterhillctl versions: what is in force on each gateway of a fleet. */
 import type { Command } from "commander";
 import { ExitCode } from "../common/exit_code.ts";
-import { contextOf } from "./context.ts";
-import { fleetText, type HostVersions, versionsIn } from "./fleet_versions.ts";
+import { createContext } from "./context.ts";
+import {
+  formatFleetVersions,
+  type HostVersions,
+  parseHostVersions,
+} from "./fleet_versions.ts";
 
 /** A host that has not answered by then is told as silent. */
-const ANSWER_MS = 3000;
+const RESPONSE_TIMEOUT_MS = 3000;
 
 /** Adds the command. */
-export function addVersions(program: Command): void {
+export function addVersionsCommand(program: Command): void {
   program.command("versions <metrics...>")
     .description(
       "settings and routes in force on gateways, by their metrics addresses " +
         "(IP:port); ends with code 1 unless all answer and agree",
     )
     .action(async (addresses: string[], _: unknown, command: Command) => {
-      const answers = await Promise.all(addresses.map(askHost));
+      const answers = await Promise.all(addresses.map(fetchHostVersions));
       const hosts = answers.filter((one) => typeof one !== "string");
       const silent = answers.filter((one) => typeof one === "string");
-      const text = fleetText(hosts, silent);
-      contextOf(command).show(text, { hosts, silent });
-      if (silent.length > 0 || !agree(hosts)) {
+      const text = formatFleetVersions(hosts, silent);
+      createContext(command).show(text, { hosts, silent });
+      if (silent.length > 0 || !haveEqualVersions(hosts)) {
         process.exitCode = ExitCode.failure;
       }
     });
 }
 
 /** What is in force on a host; its address where it doesn't say. */
-async function askHost(address: string): Promise<HostVersions | string> {
+async function fetchHostVersions(
+  address: string,
+): Promise<HostVersions | string> {
   try {
-    const signal = AbortSignal.timeout(ANSWER_MS);
+    const signal = AbortSignal.timeout(RESPONSE_TIMEOUT_MS);
     const answer = await fetch(`http://${address}/metrics`, { signal });
-    return versionsIn(address, await answer.text()) ?? address;
+    return parseHostVersions(address, await answer.text()) ?? address;
   } catch (error) {
     console.error(`${address}: ${String(error)}`);
     return address;
   }
 }
 
-function agree(hosts: readonly HostVersions[]): boolean {
+function haveEqualVersions(hosts: readonly HostVersions[]): boolean {
   const versions = hosts.map((one) => `${one.settings} ${one.routes}`);
   return new Set(versions).size <= 1;
 }
--- a/src/programs/demo/fleet.ts
+++ b/src/programs/demo/fleet.ts
@@ -38,7 +38,7 @@
 /** Starts the fleet on loopback. */
 export async function startFleet(log: Log): Promise<DemoFleet> {
   const platform = await startPlatform(
-    check(PlatformSchema, `listen = "127.0.0.1:0"`),
+    parseSettings(PlatformSchema, `listen = "127.0.0.1:0"`),
   );
   writeRows(platform.platform, settingsRows());
   const entries: ListEntry[] = [];
@@ -48,25 +48,29 @@
   for (const hall of HALLS) {
     for (const role of ["prefill", "decode"] as const) {
       const id = `${role}-${hall}`;
-      const engine = await startEngine(check(EngineSchema, listening(id)));
+      const engine = await startEngine(
+        parseSettings(EngineSchema, standinSettings(id)),
+      );
       standins.push(engine);
       engines.push(engine.engine);
-      entries.push(upstream(id, hall, role, engine.address));
+      entries.push(upstreamEntry(id, hall, role, engine.address));
     }
     const id = `api-${hall}`;
-    const plain = await startPlain(check(PlainSchema, listening(id)));
+    const plain = await startPlain(
+      parseSettings(PlainSchema, standinSettings(id)),
+    );
     standins.push(plain);
-    entries.push(upstream(id, hall, "plain", plain.address));
+    entries.push(upstreamEntry(id, hall, "plain", plain.address));
   }
   for (const hall of HALLS) {
-    const text = routerText(`${hall}-1`, hall, platform.address);
-    const host = await startHost(check(RouterSchema, text), log);
+    const text = routerSettings(`${hall}-1`, hall, platform.address);
+    const host = await startHost(parseSettings(RouterSchema, text), log);
     hosts.push(host);
-    entries.push(entry(`${hall}-1`, hall, host.peers));
+    entries.push(hostEntry(`${hall}-1`, hall, host.peers));
   }
   putHosts(platform.platform, entries);
   const targets = hosts.map((host) => host.callers);
-  await allReady(targets);
+  await waitUntilReady(targets);
   return { targets, engines, stop: () => stopAll(hosts, standins) };
 }
 
@@ -78,18 +82,18 @@
   for (const standin of standins) standin.stop();
 }
 
-function check<Schema extends z.ZodType>(
+function parseSettings<Schema extends z.ZodType>(
   schema: Schema,
   text: string,
 ): z.output<Schema> {
   return checkSettings("demo", text, schema).unwrap();
 }
 
-function listening(id: string): string {
+function standinSettings(id: string): string {
   return `id = "${id}"\nlisten = "127.0.0.1:0"\n`;
 }
 
-function routerText(id: string, hall: string, platform: string): string {
+function routerSettings(id: string, hall: string, platform: string): string {
   return `
 [host]
 id = "${id}"
@@ -103,7 +107,7 @@
 `;
 }
 
-function entry(id: string, hall: string, address: string): ListEntry {
+function hostEntry(id: string, hall: string, address: string): ListEntry {
   return {
     id,
     kind: "entry",
@@ -120,14 +124,14 @@
   };
 }
 
-function upstream(
+function upstreamEntry(
   id: string,
   hall: string,
   role: string,
   address: string,
 ): ListEntry {
   const service = role === "plain" ? SERVICE : MODEL;
-  return { ...entry(id, hall, address), kind: "upstream", service, role };
+  return { ...hostEntry(id, hall, address), kind: "upstream", service, role };
 }
 
 function settingsRows() {
@@ -162,9 +166,9 @@
 }
 
 /** The hosts have read settings, list and load reports by then. */
-const SETTLE_MS = 3500;
+const REPORTS_DELAY_MS = 3500;
 
-async function allReady(targets: readonly string[]): Promise<void> {
+async function waitUntilReady(targets: readonly string[]): Promise<void> {
   for (const target of targets) {
     for (;;) {
       const answer = await fetch(`http://${target}/readyz`);
@@ -172,7 +176,7 @@
       await sleep(100);
     }
   }
-  await sleep(SETTLE_MS);
+  await sleep(REPORTS_DELAY_MS);
 }
 
 function sleep(span: number): Promise<void> {
--- a/src/programs/demo/main.ts
+++ b/src/programs/demo/main.ts
@@ -5,7 +5,7 @@
 import { makeCommand, onStopSignal, runProgram } from "../common/command.ts";
 import { ExitCode } from "../common/exit_code.ts";
 import { runLoad } from "../load/run.ts";
-import { summarise, summaryText } from "../load/summary.ts";
+import { formatSummary, summarise } from "../load/summary.ts";
 import { WorkloadSchema } from "../load/workload.ts";
 import {
   API_KEY,
@@ -62,24 +62,24 @@
   console.log("Open by default in the demo: no TLS, no operator key.");
   const fleet = await startFleet(openLog("demo", "warn"));
   console.log(`Entry hosts: ${fleet.targets.join(" ")}`);
-  if (flags.serve) return serve(fleet);
+  if (flags.serve) return serveUntilStopped(fleet);
   const workload = checkSettings("demo", WORKLOAD, WorkloadSchema).unwrap();
   const outcomes = await runLoad(workload, fleet.targets);
   console.log(`\nWhat was placed where (${HALLS.length} data halls):`);
-  for (const engine of fleet.engines) console.log(engineLine(engine));
-  console.log(`\n${summaryText(summarise(outcomes))}`);
-  console.log(wasteLine(fleet));
+  for (const engine of fleet.engines) console.log(formatEngine(engine));
+  console.log(`\n${formatSummary(summarise(outcomes))}`);
+  console.log(formatWaste(fleet));
   await fleet.stop();
   process.exit(ExitCode.ok);
 }
 
-function engineLine(engine: DemoFleet["engines"][number]): string {
+function formatEngine(engine: DemoFleet["engines"][number]): string {
   const { started, prefilledTokens, hitTokens } = engine.record;
   return `  ${engine.id.padEnd(16)} ${String(started.size).padStart(4)} ` +
     `attempts  ${prefilledTokens} tokens prefilled, ${hitTokens} from cache`;
 }
 
-function wasteLine(fleet: DemoFleet): string {
+function formatWaste(fleet: DemoFleet): string {
   let prefilled = 0;
   let thrown = 0;
   for (const { record } of fleet.engines) {
@@ -90,7 +90,7 @@
   return `wasted prefill ${share.toFixed(1)}% of ${prefilled} tokens`;
 }
 
-function serve(fleet: DemoFleet): void {
+function serveUntilStopped(fleet: DemoFleet): void {
   const target = fleet.targets[0];
   console.log(`
 curl -N http://${target}/v1/completions \\
--- a/src/programs/load/main.ts
+++ b/src/programs/load/main.ts
@@ -2,7 +2,7 @@
 /** otterhill-load: open-loop load from a workload file. */
 import { makeCommand, runProgram, settingsOrExit } from "../common/command.ts";
 import { runLoad } from "./run.ts";
-import { summarise, summaryText } from "./summary.ts";
+import { formatSummary, summarise } from "./summary.ts";
 import { WorkloadSchema } from "./workload.ts";
 
 const EXAMPLES = `
@@ -26,6 +26,6 @@
   const flags = command.opts<Flags>();
   const workload = settingsOrExit(flags.workload, WorkloadSchema);
   const summary = summarise(await runLoad(workload, command.args));
-  const text = flags.json ? JSON.stringify(summary) : summaryText(summary);
+  const text = flags.json ? JSON.stringify(summary) : formatSummary(summary);
   console.log(text);
 });
--- a/src/programs/load/run.ts
+++ b/src/programs/load/run.ts
@@ -1,6 +1,6 @@
 /** Runs a workload: open loop, each request at its intended time. */
 import { type Outcome, send } from "./send.ts";
-import { arrivals, type Workload } from "./workload.ts";
+import { generateArrivals, type Workload } from "./workload.ts";
 
 /** Sends a workload to entry hosts in turn; ends when all have answered. */
 export async function runLoad(
@@ -8,15 +8,15 @@
   targets: readonly string[],
 ): Promise<Outcome[]> {
   const start = performance.now();
-  const sent = arrivals(workload).map(async (arrival, place) => {
-    await until(start + arrival.at);
+  const sent = generateArrivals(workload).map(async (arrival, place) => {
+    await sleepUntil(start + arrival.at);
     const target = targets[place % targets.length] ?? "";
     return await send(arrival, target, start + arrival.at);
   });
   return await Promise.all(sent);
 }
 
-function until(time: number): Promise<void> {
+function sleepUntil(time: number): Promise<void> {
   const wait = Math.max(0, time - performance.now());
   return new Promise((resolve) => setTimeout(resolve, wait));
 }
--- a/src/programs/load/send.ts
+++ b/src/programs/load/send.ts
@@ -17,7 +17,7 @@
 };
 
 /** A stream may be silent this long. */
-const SILENCE_MS = 30_000;
+const IDLE_TIMEOUT_MS = 30_000;
 
 /** Sends a request to an entry host. */
 export async function send(
@@ -35,7 +35,7 @@
   }
 }
 
-function headersOf(arrival: Arrival): Record<string, string> {
+function authorizationHeaders(arrival: Arrival): Record<string, string> {
   return { authorization: `Bearer ${arrival.stream.key}` };
 }
 
@@ -48,12 +48,12 @@
     address: target,
     method: "POST",
     path: `/plain/${arrival.stream.service}/`,
-    headers: headersOf(arrival),
+    headers: authorizationHeaders(arrival),
     body: JSON.stringify({ text: arrival.prompt }),
-    connectTimeoutMs: SILENCE_MS,
+    connectTimeoutMs: IDLE_TIMEOUT_MS,
   });
   const text = await readText(answer);
-  if (answer.statusCode !== 200) return refused(arrival, target, text);
+  if (answer.statusCode !== 200) return refusedOutcome(arrival, target, text);
   const firstTokenMs = performance.now() - intendedAt;
   const good = firstTokenMs <= arrival.stream.first_token;
   return { arrival, target, firstTokenMs, tokens: 0, good };
@@ -69,18 +69,18 @@
     address: target,
     method: "POST",
     path: "/v1/completions",
-    headers: headersOf(arrival),
+    headers: authorizationHeaders(arrival),
     body: JSON.stringify({
       model: stream.service,
       prompt,
       max_tokens: outputTokens,
       stream: true,
     }),
-    connectTimeoutMs: SILENCE_MS,
-    silenceTimeoutMs: SILENCE_MS,
+    connectTimeoutMs: IDLE_TIMEOUT_MS,
+    silenceTimeoutMs: IDLE_TIMEOUT_MS,
   });
   if (answer.statusCode !== 200) {
-    return refused(arrival, target, await readText(answer));
+    return refusedOutcome(arrival, target, await readText(answer));
   }
   const times: number[] = [];
   let error: string | undefined;
@@ -88,18 +88,18 @@
   const parser = createParser({
     onEvent: ({ data }) => {
       if (data === "[DONE]") ended = true;
-      else if (data.startsWith('{"error"')) error = errorOf(data);
+      else if (data.startsWith('{"error"')) error = parseErrorCode(data);
       else times.push(performance.now());
     },
   });
   answer.setEncoding("utf8");
   for await (const part of answer) parser.feed(String(part));
   if (!ended) error ??= "broken";
-  return measured(arrival, target, intendedAt, times, error);
+  return measureStream(arrival, target, intendedAt, times, error);
 }
 
 /** The closing event carries no token, so it is left out. */
-function measured(
+function measureStream(
   arrival: Arrival,
   target: string,
   intendedAt: number,
@@ -120,11 +120,21 @@
   return { arrival, target, firstTokenMs, betweenTokensMs, tokens, good };
 }
 
-function refused(arrival: Arrival, target: string, text: string): Outcome {
-  return { arrival, target, tokens: 0, error: errorOf(text), good: false };
+function refusedOutcome(
+  arrival: Arrival,
+  target: string,
+  text: string,
+): Outcome {
+  return {
+    arrival,
+    target,
+    tokens: 0,
+    error: parseErrorCode(text),
+    good: false,
+  };
 }
 
-function errorOf(text: string): string {
+function parseErrorCode(text: string): string {
   try {
     const { error } = JSON.parse(text) as { error: { code: string } };
     return error.code;
--- a/src/programs/load/summary.ts
+++ b/src/programs/load/summary.ts
@@ -3,7 +3,7 @@
 import type { Outcome } from "./send.ts";
 
 /** Histograms count microseconds. */
-const MICROS = 1000;
+const MICROSECONDS_PER_MS = 1000;
 
 /** What a load came to. */
 export type Summary = {
@@ -57,17 +57,17 @@
 
 function record(histogram: Histogram, ms: number | undefined): void {
   if (ms === undefined) return;
-  histogram.recordValue(Math.max(0, Math.round(ms * MICROS)));
+  histogram.recordValue(Math.max(0, Math.round(ms * MICROSECONDS_PER_MS)));
 }
 
 function percentiles(histogram: Histogram): Percentiles {
   const at = (share: number): number =>
-    histogram.getValueAtPercentile(share) / MICROS;
+    histogram.getValueAtPercentile(share) / MICROSECONDS_PER_MS;
   return { p50: at(50), p95: at(95), p99: at(99) };
 }
 
 /** A summary as lines of text. */
-export function summaryText(summary: Summary): string {
+export function formatSummary(summary: Summary): string {
   const share = summary.requests === 0
     ? 0
     : summary.good / summary.requests * 100;
--- a/src/programs/load/workload.ts
+++ b/src/programs/load/workload.ts
@@ -45,17 +45,17 @@
 };
 
 /** Characters for one token, as the router counts. */
-const CHARACTERS = 4;
+const CHARACTERS_PER_TOKEN = 4;
 
 /** All arrivals of a workload, in order of time. */
-export function arrivals(workload: Workload): Arrival[] {
+export function generateArrivals(workload: Workload): Arrival[] {
   const all = workload.streams.flatMap((stream, place) =>
-    streamArrivals(workload, stream, workload.seed * 100 + place)
+    generateStreamArrivals(workload, stream, workload.seed * 100 + place)
   );
   return all.sort((a, b) => a.at - b.at);
 }
 
-function streamArrivals(
+function generateStreamArrivals(
   workload: Workload,
   stream: WorkloadStream,
   seed: number,
@@ -72,7 +72,7 @@
     if (at >= workload.duration) return made;
     const tokens = between(stream.prompt_tokens);
     const group = draw(random, Math.max(1, stream.shared_prefixes));
-    const prompt = promptOf(stream, group, tokens, made.length);
+    const prompt = makePrompt(stream, group, tokens, made.length);
     const outputTokens = between(stream.output_tokens);
     made.push({ at, stream, prompt, outputTokens });
   }
@@ -84,19 +84,20 @@
   return into < stream.burst_length ? stream.burst_factor : 1;
 }
 
-function promptOf(
+function makePrompt(
   stream: WorkloadStream,
   group: number,
   tokens: number,
   number: number,
 ): string {
-  const length = tokens * CHARACTERS;
+  const length = tokens * CHARACTERS_PER_TOKEN;
   const share = stream.shared_prefixes > 0 ? stream.shared_share : 0;
   const shared = Math.floor(length * share);
-  const head = repeat(`${stream.name} log ${group}: `, shared);
-  return head + repeat(`${stream.name} line ${number}. `, length - shared);
+  const head = repeatToLength(`${stream.name} log ${group}: `, shared);
+  return head +
+    repeatToLength(`${stream.name} line ${number}. `, length - shared);
 }
 
-function repeat(text: string, length: number): string {
+function repeatToLength(text: string, length: number): string {
   return text.repeat(Math.ceil(length / text.length)).slice(0, length);
 }
--- a/src/programs/router/main.ts
+++ b/src/programs/router/main.ts
@@ -40,10 +40,10 @@
     console.error("--settings FILE is missing; see --help");
     process.exit(ExitCode.usage);
   }
-  await serve(flags.settings);
+  await runHost(flags.settings);
 }
 
-async function serve(file: string): Promise<void> {
+async function runHost(file: string): Promise<void> {
   const settings = settingsOrExit(file, RouterSchema);
   const log = openLog("otterhill-router", settings.log.level);
   const running = await startHost(settings, log);
--- a/src/programs/standin/main.ts
+++ b/src/programs/standin/main.ts
@@ -28,24 +28,24 @@
   "Stand-ins for what otterhill works with, for tests and demos.",
 ).addHelpText("after", EXAMPLES);
 
-addKind(
+addStandinCommand(
   "engine",
   "a model engine",
   (file) => startEngine(settingsOrExit(file, EngineSchema)),
 );
-addKind(
+addStandinCommand(
   "plain",
   "a plain service",
   (file) => startPlain(settingsOrExit(file, PlainSchema)),
 );
-addKind(
+addStandinCommand(
   "platform",
   "the platform's table, objects and host list",
   (file) => startPlatform(settingsOrExit(file, PlatformSchema)),
 );
 await program.parseAsync();
 
-function addKind(
+function addStandinCommand(
   kind: string,
   what: string,
   start: (file: string) => Promise<RunningStandin>,
--- a/test/operators/diff_test.ts
+++ b/test/operators/diff_test.ts
@@ -1,20 +1,20 @@
-/** Differences of two values, path by path. */
+/** Tests of the path-by-path comparison of two values. */
 import { test } from "node:test";
 import assert from "node:assert/strict";
-import { differences, differenceText } from "../../src/operators/diff.ts";
+import { diffValues, formatDifferences } from "../../src/operators/diff.ts";
 
-test("what is added, changed and removed is listed by path", () => {
+test("lists added, changed and removed values by path", () => {
   const before = { a: { b: 1, c: [1, 2] }, d: "x" };
   const after = { a: { b: 2, c: [1, 2] }, e: true };
   assert.equal(
-    differenceText(differences(before, after)),
+    formatDifferences(diffValues(before, after)),
     `a.b: 1 -> 2\nd: "x" -> (none)\ne: (none) -> true`,
   );
 });
 
-test("equal values have no difference", () => {
+test("reports no difference for equal values", () => {
   assert.equal(
-    differenceText(differences({ a: 1 }, { a: 1 })),
+    formatDifferences(diffValues({ a: 1 }, { a: 1 })),
     "no difference",
   );
 });
--- a/test/operators/publish_test.ts
+++ b/test/operators/publish_test.ts
@@ -1,23 +1,23 @@
-/** Publishing: conflicts are shown, lost answers are resolved. */
+/** Tests of publishing: conflicts are reported, lost responses are resolved. */
 import { test } from "node:test";
 import assert from "node:assert/strict";
 import { type Change, publish } from "../../src/operators/publish.ts";
-import type { Store, StoreOutcome } from "../../src/operators/store.ts";
+import type { Store, WriteOutcome } from "../../src/operators/store.ts";
 import {
   createPlatform,
   readRows,
   writeRows,
 } from "../../src/standins/platform/model.ts";
 
-/** A store that loses the answers of its first writes. */
-function lossyStore(losses: number, takesEffect: boolean): Store {
+/** A store that loses its first writes (or only their responses). */
+function lossyStore(lostWrites: number, takesEffect: boolean): Store {
   const platform = createPlatform();
-  let left = losses;
+  let remaining = lostWrites;
   return {
     read: (prefix) => Promise.resolve(readRows(platform, prefix, 0)),
-    write: (changes): Promise<StoreOutcome> => {
-      left -= 1;
-      const lost = left >= 0;
+    write: (changes): Promise<WriteOutcome> => {
+      remaining -= 1;
+      const lost = remaining >= 0;
       if (lost && !takesEffect) return Promise.resolve({ type: "lost" });
       const result = writeRows(platform, changes);
       if (lost) return Promise.resolve({ type: "lost" });
@@ -35,24 +35,24 @@
   return { id, key, value, base, author: "a", at: 0, guards: [] };
 }
 
-test("a write whose answer was lost is accepted once", async () => {
+test("applies a write once when its response is lost", async () => {
   const store = lossyStore(1, true);
   const outcome = await publish(store, change("c1", "1", 0));
   assert.deepEqual(outcome, { type: "accepted", version: 1, resolved: true });
 });
 
-test("a write that was lost itself is tried again", async () => {
+test("retries a write that did not reach the store", async () => {
   const store = lossyStore(2, false);
   const outcome = await publish(store, change("c1", "1", 0));
   assert.deepEqual(outcome, { type: "accepted", version: 1, resolved: true });
 });
 
-test("a store that stays silent leaves the outcome unknown", async () => {
+test("reports an unknown outcome when the store never responds", async () => {
   const outcome = await publish(lossyStore(99, false), change("c1", "1", 0));
   assert.deepEqual(outcome, { type: "unknown", id: "c1" });
 });
 
-test("the loser of a race sees the winner's row", async () => {
+test("returns the current row when a concurrent publish came first", async () => {
   const store = lossyStore(0, true);
   await publish(store, change("c1", "first", 0));
   const outcome = await publish(store, change("c2", "second", 0));
--- a/test/programs/burn_test.ts
+++ b/test/programs/burn_test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import assert from "node:assert/strict";
 import { mergeBurn } from "../../src/programs/burn/merge.ts";
-import { burnText } from "../../src/programs/burn/text.ts";
+import { formatBurnTable } from "../../src/programs/burn/text.ts";
 import { BurnTable } from "../../src/shell/measures/burn_table.ts";
 
 function hostWith(good: number, bad: number, firstTokenMs: number) {
@@ -41,5 +41,5 @@
 });
 
 test("without requests the report says so", () => {
-  assert.equal(burnText([]), "no requests so far");
+  assert.equal(formatBurnTable([]), "no requests so far");
 });
--- a/test/programs/story_test.ts
+++ b/test/programs/story_test.ts
@@ -2,7 +2,10 @@
 import assert from "node:assert/strict";
 import { spawn } from "node:child_process";
 import { test } from "node:test";
-import { storyOf, storyText } from "../../src/programs/ctl/story.ts";
+import {
+  findRequestLines,
+  formatRequestLines,
+} from "../../src/programs/ctl/story.ts";
 
 function line(time: string, request: string, msg: string): string {
   const base = { name: "otterhill-gateway", host: "h1", event: "e" };
@@ -17,17 +20,17 @@
     `   3.1 frontend-1 ${line("2026-12-02T10:00:01Z", "1", "placement: sent")}`,
     '{"request": "1", cut',
   ];
-  const story = storyOf(lines, "1");
+  const story = findRequestLines(lines, "1");
   assert.deepEqual(story.map((one) => one.sentence), [
     "placement: sent",
     "requests: A request is answered",
   ]);
-  const [first] = storyText(story).split("\n");
+  const [first] = formatRequestLines(story).split("\n");
   assert.equal(first, "2026-12-02T10:00:01Z  h1  placement: sent  reason=r");
 });
 
 test("an id that no line names has no story", () => {
-  assert.deepEqual(storyOf([line("t", "1", "m")], "2"), []);
+  assert.deepEqual(findRequestLines([line("t", "1", "m")], "2"), []);
 });
 
 type Run = { readonly code: number | null; readonly out: string };
--- a/test/programs/versions_test.ts
+++ b/test/programs/versions_test.ts
@@ -6,9 +6,9 @@
 import { settingsVersion } from "../../src/gateway/settings_state.ts";
 import { Metrics } from "../../src/gateway/observe/metrics.ts";
 import {
-  fleetText,
+  formatFleetVersions,
   type HostVersions,
-  versionsIn,
+  parseHostVersions,
 } from "../../src/programs/ctl/fleet_versions.ts";
 import { GatewaySchema } from "../../src/settings/mod.ts";
 
@@ -21,16 +21,16 @@
 }
 
 function host(address: string, settings: string, routes = 7): HostVersions {
-  const read = versionsIn(address, page(settings, routes));
+  const read = parseHostVersions(address, page(settings, routes));
   assert.ok(read);
   return read;
 }
 
 test("hosts without the usual version are named, and so are refused reloads", () => {
   const hosts = [host("a:1", "x"), host("b:1", "x"), host("c:1", "y", 6)];
-  const refusing = versionsIn("d:1", page("x", 7, 2));
+  const refusing = parseHostVersions("d:1", page("x", 7, 2));
   assert.ok(refusing);
-  const lines = fleetText([...hosts, refusing], ["e:1"]).split("\n");
+  const lines = formatFleetVersions([...hosts, refusing], ["e:1"]).split("\n");
   assert.deepEqual(lines, [
     "settings: 3 of 4 on x; not: y on c:1",
     "routes: 3 of 4 on 7; not: 6 on c:1",
@@ -40,7 +40,7 @@
 });
 
 test("a page without versions is no answer", () => {
-  assert.equal(versionsIn("a:1", new Metrics().page({})), undefined);
+  assert.equal(parseHostVersions("a:1", new Metrics().page({})), undefined);
 });
 
 function settingsOf(change: object, hostId: string) {
