--- a/src/programs/burn/main.ts
+++ b/src/programs/burn/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** otterhill-burn: how fast the service-level budget burns. */
+/** otterhill-burn: reports burn rates of the service-level error budget. */
 import { writeFileSync } from "node:fs";
 import type { BurnWindow } from "../../messages/control.ts";
 import { callControl } from "../../shell/mod.ts";
@@ -15,8 +15,8 @@
   otterhill-burn 10.0.0.1:9001 10.0.0.2:9001
   otterhill-burn --html burn.html --objective 0.99 10.0.0.1:9001
 
-Exit codes: 0 all hosts answered, 1 none did, 2 faulty command line,
-4 some did not answer.`;
+Exit codes: 0 all hosts responded, 1 none responded, 2 faulty command line,
+4 some did not respond.`;
 
 type Flags = {
   readonly html?: string;
@@ -28,11 +28,16 @@
 
 const command = makeCommand(
   "otterhill-burn",
-  "Shows the burn of the service-level budget, merged over entry hosts.",
+  "Reports the burn rate of the service-level budget, merged over entry hosts.",
 )
-  .option("--html <file>", "write a page with plots")
+  .option("--html <file>", "write an HTML page with bar charts")
   .option("--json", "print JSON")
-  .option("--objective <share>", "share of good requests", Number, 0.95)
+  .option(
+    "--objective <share>",
+    "required share of good requests",
+    Number,
+    0.95,
+  )
   .argument("<addresses...>", "IP:port of entry hosts (peer listener)")
   .addHelpText("after", EXAMPLES)
   .parse();
@@ -46,14 +51,14 @@
   }
   const keyHash = sha256(process.env["OTTERHILL_OPERATOR_KEY"] ?? "");
   const windows: BurnWindow[] = [];
-  let silent = 0;
+  let unreachable = 0;
   for (const address of addresses) {
     try {
       const target = { address, keyHash, timeoutMs: TIMEOUT_MS };
       const answer = await callControl(target, { $case: "burn", value: {} });
       if (answer.$case === "burn") windows.push(...answer.value.windows);
     } catch (error) {
-      silent += 1;
+      unreachable += 1;
       console.error(error instanceof Error ? error.message : String(error));
     }
   }
@@ -65,6 +70,6 @@
       renderBurnPage(rows, flags.objective, new Date()),
     );
   }
-  if (silent === addresses.length) process.exitCode = ExitCode.failure;
-  else if (silent > 0) process.exitCode = ExitCode.unknown;
+  if (unreachable === addresses.length) process.exitCode = ExitCode.failure;
+  else if (unreachable > 0) process.exitCode = ExitCode.unknown;
 }
--- a/src/programs/burn/merge.ts
+++ b/src/programs/burn/merge.ts
@@ -1,25 +1,25 @@
-/** Merges hosts' windows and works out how fast the budget burns. */
+/** Merges the windows of several hosts and computes error budget burn rates. */
 import hdr, { type Histogram } from "hdr-histogram-js";
 import type { BurnWindow } from "../../messages/control.ts";
 
 /** Percentiles in milliseconds. */
 export type Percentiles = readonly [p50: number, p95: number, p99: number];
 
-/** One customer and service over one window, all hosts together. */
+/** One customer, service and window, merged over all hosts. */
 export type BurnRow = {
   readonly customer: string;
   readonly service: string;
   readonly windowMs: number;
   readonly requests: number;
   readonly good: number;
-  /** 1: the budget is used up exactly at the end of its period. */
+  /** Burn rate; at 1, the budget is used up exactly at the end of its period. */
   readonly burn: number;
-  /** Since the hosts have started. */
+  /** Since the hosts started, not only over the window. */
   readonly firstToken: Percentiles;
   readonly betweenTokens: Percentiles;
 };
 
-/** Histograms count microseconds. */
+/** Histograms record microseconds. */
 const MICROSECONDS_PER_MS = 1000;
 
 type MergedWindow = {
@@ -32,22 +32,22 @@
   readonly betweenTokens: Histogram;
 };
 
-/** Merges the windows of all hosts, for an objective such as 0.95. */
+/** Merges windows by customer, service and length; objective is e.g. 0.95. */
 export function mergeBurn(
   windows: readonly BurnWindow[],
   objective: number,
 ): BurnRow[] {
   const merged = new Map<string, MergedWindow>();
   for (const window of windows) addWindow(merged, window);
-  return [...merged.values()].map((one) => ({
-    customer: one.customer,
-    service: one.service,
-    windowMs: one.windowMs,
-    requests: one.requests,
-    good: one.good,
-    burn: burnRate(one, objective),
-    firstToken: percentiles(one.firstToken),
-    betweenTokens: percentiles(one.betweenTokens),
+  return [...merged.values()].map((row) => ({
+    customer: row.customer,
+    service: row.service,
+    windowMs: row.windowMs,
+    requests: row.requests,
+    good: row.good,
+    burn: burnRate(row, objective),
+    firstToken: percentiles(row.firstToken),
+    betweenTokens: percentiles(row.betweenTokens),
   }));
 }
 
@@ -56,8 +56,8 @@
   window: BurnWindow,
 ): void {
   const { customer, service, windowMs } = window;
-  const name = `${customer} ${service} ${windowMs}`;
-  const row = merged.get(name) ?? {
+  const key = `${customer} ${service} ${windowMs}`;
+  const row = merged.get(key) ?? {
     customer,
     service,
     windowMs,
@@ -70,7 +70,7 @@
   row.good += window.good;
   addEncoded(row.firstToken, window.firstToken);
   addEncoded(row.betweenTokens, window.betweenTokens);
-  merged.set(name, row);
+  merged.set(key, row);
 }
 
 function newHistogram(): Histogram {
@@ -83,12 +83,12 @@
 }
 
 function percentiles(histogram: Histogram): Percentiles {
-  const at = (share: number): number =>
-    histogram.getValueAtPercentile(share) / MICROSECONDS_PER_MS;
+  const at = (percentile: number): number =>
+    histogram.getValueAtPercentile(percentile) / MICROSECONDS_PER_MS;
   return [at(50), at(95), at(99)];
 }
 
-function burnRate(one: MergedWindow, objective: number): number {
-  if (one.requests === 0) return 0;
-  return (1 - one.good / one.requests) / (1 - objective);
+function burnRate(row: MergedWindow, objective: number): number {
+  if (row.requests === 0) return 0;
+  return (1 - row.good / row.requests) / (1 - objective);
 }
--- a/src/programs/burn/page.ts
+++ b/src/programs/burn/page.ts
@@ -1,12 +1,16 @@
-/** The burn report as an HTML page with plots. */
+/** The burn report as an HTML page with bar charts. */
 import type { BurnRow } from "./merge.ts";
 import { formatGoodShare, formatWindow } from "./text.ts";
 
 const BAR_WIDTH = 260;
 const BAR_HEIGHT = 14;
-/** A burn of this much fills a bar. */
+/** Burn rate at which a bar is full. */
 const MAX_BAR_BURN = 4;
-const BAR_COLOURS = { calm: "#2e7d5b", fast: "#c77800", gone: "#b3261e" };
+const BAR_COLOURS = {
+  withinBudget: "#2e7d5b",
+  elevated: "#c77800",
+  critical: "#b3261e",
+};
 
 const STYLE = `
 body { font: 15px/1.45 system-ui, sans-serif; margin: 2rem auto;
@@ -18,7 +22,7 @@
 .number { text-align: right; }
 p { max-width: 44rem; }`;
 
-/** The page. */
+/** Renders the page. */
 export function renderBurnPage(
   rows: readonly BurnRow[],
   objective: number,
@@ -46,32 +50,32 @@
 }
 
 function renderRow(row: BurnRow): string {
-  const first = row.firstToken.map((one) => one.toFixed(0)).join(" / ");
+  const firstToken = row.firstToken.map((ms) => ms.toFixed(0)).join(" / ");
   return `<tr><td>${escapeHtml(row.customer)}</td>
 <td>${escapeHtml(row.service)}</td><td>${formatWindow(row.windowMs)}</td>
 <td class="number">${row.requests}</td>
 <td class="number">${formatGoodShare(row)}</td>
-<td>${renderBar(row.burn)}</td><td>${first} ms</td></tr>`;
+<td>${renderBar(row.burn)}</td><td>${firstToken} ms</td></tr>`;
 }
 
 function renderBar(burn: number): string {
   const width = Math.min(1, burn / MAX_BAR_BURN) * BAR_WIDTH;
-  const mark = BAR_WIDTH / MAX_BAR_BURN;
+  const budgetX = BAR_WIDTH / MAX_BAR_BURN;
   const label = burn.toFixed(2);
   return `<svg width="${BAR_WIDTH + 50}" height="${BAR_HEIGHT + 4}"
  role="img" aria-label="burn ${label}">
 <rect x="0" y="2" width="${BAR_WIDTH}" height="${BAR_HEIGHT}" fill="#eee"/>
 <rect x="0" y="2" width="${width.toFixed(1)}" height="${BAR_HEIGHT}"
  fill="${barColour(burn)}"/>
-<line x1="${mark}" x2="${mark}" y1="0" y2="${BAR_HEIGHT + 4}"
+<line x1="${budgetX}" x2="${budgetX}" y1="0" y2="${BAR_HEIGHT + 4}"
  stroke="#1c1c1c"/>
 <text x="${BAR_WIDTH + 6}" y="${BAR_HEIGHT}" font-size="12">${label}</text>
 </svg>`;
 }
 
 function barColour(burn: number): string {
-  if (burn <= 1) return BAR_COLOURS.calm;
-  return burn <= 2 ? BAR_COLOURS.fast : BAR_COLOURS.gone;
+  if (burn <= 1) return BAR_COLOURS.withinBudget;
+  return burn <= 2 ? BAR_COLOURS.elevated : BAR_COLOURS.critical;
 }
 
 function escapeHtml(text: string): string {
--- a/src/programs/burn/text.ts
+++ b/src/programs/burn/text.ts
@@ -1,8 +1,7 @@
-/** The burn report as text. */
+/** The burn report as a plain-text table. */
 import { formatTable } from "../ctl/table.ts";
 import type { BurnRow, Percentiles } from "./merge.ts";
 
-/** The report as a table. */
 export function formatBurnTable(rows: readonly BurnRow[]): string {
   if (rows.length === 0) return "no requests so far";
   return formatTable(
@@ -29,18 +28,18 @@
   );
 }
 
-/** A window's length for people. */
-export function formatWindow(span: number): string {
-  const minutes = span / 60_000;
+/** Formats a window's length in minutes or hours. */
+export function formatWindow(windowMs: number): string {
+  const minutes = windowMs / 60_000;
   return minutes < 60 ? `${minutes} min` : `${minutes / 60} h`;
 }
 
-/** The share of good requests for people. */
+/** Formats the share of good requests as a percentage. */
 export function formatGoodShare(row: BurnRow): string {
   if (row.requests === 0) return "-";
   return `${(row.good / row.requests * 100).toFixed(1)}%`;
 }
 
-function formatPercentiles(its: Percentiles): string {
-  return its.map((one) => one.toFixed(1)).join(" / ");
+function formatPercentiles(percentiles: Percentiles): string {
+  return percentiles.map((ms) => ms.toFixed(1)).join(" / ");
 }
--- a/src/programs/common/command.ts
+++ b/src/programs/common/command.ts
@@ -1,11 +1,11 @@
-/** What the command lines of all programs share. */
+/** Command-line handling shared by all programs. */
 import { existsSync, readFileSync } from "node:fs";
 import { Command } from "commander";
 import type { z } from "zod";
 import { faultLine, loadSettings } from "../../settings/load.ts";
 import { ExitCode } from "./exit_code.ts";
 
-/** Makes a program's command with its version and its exit codes. */
+/** Creates a program's command with its version and exit codes. */
 export function makeCommand(name: string, description: string): Command {
   const command = new Command(name);
   command.description(description).version(packageVersion());
@@ -15,7 +15,7 @@
   return command;
 }
 
-/** The version in the nearest package.json above this file, or bundle. */
+/** Version in the closest package.json above this file or its bundle. */
 function packageVersion(): string {
   let folder = new URL(".", import.meta.url);
   for (;;) {
@@ -24,13 +24,13 @@
       const text = readFileSync(file, "utf8");
       return (JSON.parse(text) as { version: string }).version;
     }
-    const above = new URL("..", folder);
-    if (above.href === folder.href) return "unknown";
-    folder = above;
+    const parent = new URL("..", folder);
+    if (parent.href === folder.href) return "unknown";
+    folder = parent;
   }
 }
 
-/** Reads a settings file, or ends the program naming every fault. */
+/** Loads a settings file; prints all faults and exits if there are any. */
 export function settingsOrExit<Schema extends z.ZodType>(
   file: string,
   schema: Schema,
@@ -41,23 +41,23 @@
   process.exit(ExitCode.usage);
 }
 
-/** Runs a program's work; an error is told in one line. */
-export async function runProgram(work: () => Promise<void>): Promise<void> {
+/** Runs a program; prints the message of an error and exits with a failure. */
+export async function runProgram(run: () => Promise<void>): Promise<void> {
   try {
-    await work();
+    await run();
   } catch (error) {
     console.error(error instanceof Error ? error.message : String(error));
     process.exit(ExitCode.failure);
   }
 }
 
-/** Calls `stop` once, on the first signal that asks the process to end. */
+/** Calls `stop` once, on the first SIGTERM or SIGINT. */
 export function onStopSignal(stop: () => void): void {
-  let asked = false;
+  let stopping = false;
   for (const signal of ["SIGTERM", "SIGINT"] as const) {
     process.on(signal, () => {
-      if (asked) return;
-      asked = true;
+      if (stopping) return;
+      stopping = true;
       stop();
     });
   }
--- a/src/programs/ctl/context.ts
+++ b/src/programs/ctl/context.ts
@@ -1,4 +1,4 @@
-/** What every command of otterhillctl works with. */
+/** Flags, store access and output shared by all otterhillctl commands. */
 import { randomUUID } from "node:crypto";
 import { userInfo } from "node:os";
 import type { Command } from "commander";
@@ -13,7 +13,7 @@
 import { sha256 } from "../../util/sha256.ts";
 import { ExitCode } from "../common/exit_code.ts";
 
-/** Flags of all commands. */
+/** Flags accepted by all commands. */
 export type GlobalFlags = {
   readonly platform?: string;
   readonly host?: string[];
@@ -22,22 +22,23 @@
   readonly dryRun?: boolean;
 };
 
-/** A call to an entry host is given up after this. */
 const CONTROL_CALL_TIMEOUT_MS = 3000;
-/** A call to the platform is given up after this. */
 const PLATFORM_CALL_TIMEOUT_MS = 2000;
 
-/** What a command works with. */
+/** Flags, targets and output of one command invocation. */
 export type CommandContext = {
   readonly flags: GlobalFlags;
   readonly hosts: readonly ControlTarget[];
-  /** The platform, or the first entry host; ends the program without both. */
+  /**
+   * The platform, or else the first entry host. Exits with a usage error when
+   * neither is given.
+   */
   readonly store: Store;
-  /** Prints for people, or as JSON for scripts. */
+  /** Prints `text`, or `value` as JSON with --json. */
   show(text: string, value: unknown): void;
 };
 
-/** The context of a command. */
+/** Creates the context of a command from its flags and the environment. */
 export function createContext(command: Command): CommandContext {
   const flags = command.optsWithGlobals<GlobalFlags>();
   const key = process.env["OTTERHILL_OPERATOR_KEY"] ?? "";
@@ -70,21 +71,21 @@
   process.exit(ExitCode.usage);
 }
 
-/** What a command wants to change. */
+/** The part of a {@link Change} that a command supplies. */
 export type RowChange = Pick<Change, "key" | "value" | "base" | "guards">;
 
-/** Publishes a change, tells how it went and sets the exit code. */
+/** Publishes a change, prints its outcome and sets the exit code. */
 export async function publishAndReport(
   context: CommandContext,
-  wish: RowChange,
+  change: RowChange,
 ): Promise<void> {
   const outcome = await publish(context.store, {
-    ...wish,
+    ...change,
     id: randomUUID(),
     author: context.flags.author ?? userInfo().username,
     at: Date.now(),
   });
-  context.show(formatOutcome(wish, outcome), outcome);
+  context.show(formatOutcome(change, outcome), outcome);
   process.exitCode = exitCodeOf(outcome);
 }
 
@@ -99,16 +100,16 @@
   }
 }
 
-function formatOutcome(wish: RowChange, outcome: Published): string {
+function formatOutcome(change: RowChange, outcome: Published): string {
   switch (outcome.type) {
     case "accepted": {
-      const how = outcome.resolved ? " (an answer was lost; read back)" : "";
-      return `accepted as version ${outcome.version}${how}`;
+      const note = outcome.resolved ? " (an answer was lost; read back)" : "";
+      return `accepted as version ${outcome.version}${note}`;
     }
     case "conflict":
       return [
         `conflict: ${outcome.keys.join(", ")} changed since it was read`,
-        `yours:  ${wish.value ?? "(removed)"}`,
+        `yours:  ${change.value ?? "(removed)"}`,
         `theirs: ${outcome.theirs?.value ?? "(none)"}`,
       ].join("\n");
     case "unknown":
@@ -116,7 +117,7 @@
   }
 }
 
-/** Prints faults and sets the exit code; true when there were some. */
+/** Prints faults and sets the exit code; returns whether there are any. */
 export function reportFaults(
   context: CommandContext,
   faults: readonly string[],
--- a/src/programs/ctl/customer.ts
+++ b/src/programs/ctl/customer.ts
@@ -19,15 +19,17 @@
   readonly base?: string;
 };
 
-/** Adds the customer commands. */
 export function addCustomerCommands(program: Command): void {
   const customer = program.command("customer")
     .description("customers and their parameters");
   customer.command("set <name> [parameters...]")
     .description("set parameters: priority=7 models=recap-llm,tagger")
-    .option("--template <name>", "the template that it is made from")
-    .option("--add-key <key...>", "API keys; only their hashes are kept")
-    .option("--base <version>", "the version that the change is made against")
+    .option("--template <name>", "the template on which the customer is based")
+    .option(
+      "--add-key <key...>",
+      "API keys to add; only their hashes are stored",
+    )
+    .option("--base <version>", "the version on which the change is based")
     .action(
       async (
         name: string,
@@ -39,12 +41,12 @@
       },
     );
   customer.command("show [name]")
-    .description("customers in force")
+    .description("show the customers in force")
     .action((name: string | undefined, _: unknown, command: Command) =>
       showRows(createContext(command), RowKey.customer, name)
     );
   customer.command("history <name>")
-    .description("changes of a customer")
+    .description("show the changes of a customer")
     .action((name: string, _: unknown, command: Command) =>
       showHistory(createContext(command), RowKey.customer + name)
     );
@@ -60,11 +62,14 @@
   const before = row?.value
     ? JSON.parse(row.value) as Customer
     : { name, template: "", parameters: {}, key_hashes: [] };
-  const given = parameters.map(parseParameter);
+  const changedParameters = parameters.map(parseParameter);
   const after = {
     ...before,
     template: flags.template ?? before.template,
-    parameters: { ...before.parameters, ...Object.fromEntries(given) },
+    parameters: {
+      ...before.parameters,
+      ...Object.fromEntries(changedParameters),
+    },
     key_hashes: [
       ...new Set([
         ...before.key_hashes,
@@ -85,12 +90,12 @@
   });
 }
 
-/** `name=value`: a number, a list with commas, or a word. */
+/** Parses `name=value`; the value is a number, a comma-separated list or text. */
 function parseParameter(text: string): readonly [string, unknown] {
-  const equals = text.indexOf("=");
-  const name = text.slice(0, Math.max(0, equals));
-  const value = text.slice(equals + 1);
+  const separator = text.indexOf("=");
+  const name = text.slice(0, Math.max(0, separator));
+  const value = text.slice(separator + 1);
   if (/^-?\d+(\.\d+)?$/.test(value)) return [name, Number(value)];
-  const lists = ["models", "adapters", "plain_services"];
-  return [name, lists.includes(name) ? value.split(",") : value];
+  const listNames = ["models", "adapters", "plain_services"];
+  return [name, listNames.includes(name) ? value.split(",") : value];
 }
--- a/src/programs/ctl/fleet_versions.ts
+++ b/src/programs/ctl/fleet_versions.ts
@@ -1,18 +1,18 @@
-/** Which versions are in force on the hosts of a fleet, from their metrics. */
+/** Compares the settings and routes versions of hosts, read from their metrics. */
 
-/** What a host says is in force on it. */
+/** The versions that a host reports in its metrics. */
 export type HostVersions = {
   readonly address: string;
-  /** Version of the settings file, and how long it has been in force. */
+  /** Version of the settings file. */
   readonly settings: string;
+  /** Time since this version came into force. */
   readonly settingsAgeSeconds: number;
-  /** Reloads that were refused since then. */
+  /** Reloads of the settings file refused since then. */
   readonly reloadsRefused: number;
-  /** Version of the routes. */
   readonly routes: string;
 };
 
-/** Reads a host's metrics; undefined where they name no versions. */
+/** Parses a host's metrics page; undefined when it contains no versions. */
 export function parseHostVersions(
   address: string,
   page: string,
@@ -35,25 +35,30 @@
   return value === undefined ? undefined : Number(value);
 }
 
-/** A fleet in a few lines: the usual version, and the hosts without it. */
+/**
+ * Formats the most common version of settings and routes, the hosts that have
+ * another version, and the hosts that did not respond.
+ */
 export function formatFleetVersions(
   hosts: readonly HostVersions[],
-  silent: readonly string[],
+  unreachable: readonly string[],
 ): string {
   const lines = [
-    formatVersionSummary("settings", hosts, (one) => one.settings),
-    formatVersionSummary("routes", hosts, (one) => one.routes),
+    formatVersionSummary("settings", hosts, (host) => host.settings),
+    formatVersionSummary("routes", hosts, (host) => host.routes),
   ];
   for (const { address, reloadsRefused } of hosts) {
     if (reloadsRefused === 0) continue;
     lines.push(`${address} refused ${reloadsRefused} reloads; see its log`);
   }
-  if (silent.length > 0) lines.push(`no answer: ${silent.join(", ")}`);
+  if (unreachable.length > 0) {
+    lines.push(`no answer: ${unreachable.join(", ")}`);
+  }
   return lines.join("\n");
 }
 
 function formatVersionSummary(
-  what: string,
+  label: string,
   hosts: readonly HostVersions[],
   versionOf: (host: HostVersions) => string,
 ): string {
@@ -62,13 +67,16 @@
     const version = versionOf(host);
     groups.set(version, [...groups.get(version) ?? [], host]);
   }
-  const [usual, ...others] = [...groups]
+  const [mostCommon, ...others] = [...groups]
     .sort(([, a], [, b]) => b.length - a.length);
-  if (!usual) return `${what}: no host has answered`;
-  const [version, same] = usual;
-  const head = `${what}: ${same.length} of ${hosts.length} on ${version}`;
-  const rest = others.map(([other, its]) =>
-    `${other} on ${its.map((one) => one.address).join(", ")}`
+  if (!mostCommon) return `${label}: no host has answered`;
+  const [version, matching] = mostCommon;
+  const prefix =
+    `${label}: ${matching.length} of ${hosts.length} on ${version}`;
+  const deviations = others.map(([other, group]) =>
+    `${other} on ${group.map((host) => host.address).join(", ")}`
   );
-  return rest.length === 0 ? head : `${head}; not: ${rest.join("; ")}`;
+  return deviations.length === 0
+    ? prefix
+    : `${prefix}; not: ${deviations.join("; ")}`;
 }
--- a/src/programs/ctl/main.ts
+++ b/src/programs/ctl/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** otterhillctl: the operators' command. */
+/** otterhillctl: command-line tool for operators. */
 import { makeCommand, runProgram } from "../common/command.ts";
 import { addCustomerCommands } from "./customer.ts";
 import { addSplitCommands } from "./split.ts";
@@ -19,7 +19,7 @@
 
 The operator key is read from OTTERHILL_OPERATOR_KEY.
 Exit codes: 0 done, 1 could not be done, 2 faulty command line or settings,
-3 conflict, 4 not known whether it was done (or only done in part).`;
+3 conflict, 4 unknown whether it was done (or done only in part).`;
 
 const program = makeCommand(
   "otterhillctl",
@@ -29,9 +29,9 @@
   .option(
     "-H, --host <address>",
     "IP:port of an entry host's peer listener; may be repeated",
-    (address: string, before: string[] = []) => [...before, address],
+    (address: string, previous: string[] = []) => [...previous, address],
   )
-  .option("--author <name>", "name kept with changes")
+  .option("--author <name>", "author recorded with changes")
   .option("--json", "print JSON")
   .addHelpText("after", EXAMPLES);
 addTemplateCommands(program);
--- a/src/programs/ctl/rows.ts
+++ b/src/programs/ctl/rows.ts
@@ -1,9 +1,9 @@
-/** Shows rows in force and their history. */
+/** Shows settings rows and their history. */
 import { CHANGE_PREFIX, type ChangeRecord } from "../../operators/publish.ts";
 import type { CommandContext } from "./context.ts";
 import { formatTable } from "./table.ts";
 
-/** Shows one row, or all under a prefix. */
+/** Shows the row with the given name, or lists all rows under a prefix. */
 export async function showRows(
   context: CommandContext,
   prefix: string,
@@ -41,11 +41,11 @@
   });
   const text = formatTable(
     ["version", "when", "who", "value"],
-    changes.map((one) => [
-      String(one.version),
-      new Date(one.at).toISOString(),
-      one.author,
-      one.value ?? "(removed)",
+    changes.map((change) => [
+      String(change.version),
+      new Date(change.at).toISOString(),
+      change.author,
+      change.value ?? "(removed)",
     ]),
   );
   context.show(changes.length === 0 ? "no changes" : text, changes);
--- a/src/programs/ctl/split.ts
+++ b/src/programs/ctl/split.ts
@@ -1,4 +1,4 @@
-/** otterhillctl split: how many upstreams of a service do prefill. */
+/** otterhillctl split: number of upstreams of a service that do prefill. */
 import type { Command } from "commander";
 import { RowKey, SplitSchema } from "../../core/mod.ts";
 import { readRow } from "../../operators/publish.ts";
@@ -12,23 +12,22 @@
 
 type SetFlags = { readonly prefill?: string };
 
-/** Adds the split commands. */
 export function addSplitCommands(program: Command): void {
   const split = program.command("split")
     .description("a service's split between prefill and decode upstreams");
   split.command("set <service>")
-    .description("change the split; without --prefill it follows the load")
-    .option("--prefill <count>", "upstreams that do prefill")
+    .description("set the split; without --prefill it adapts to the load")
+    .option("--prefill <count>", "number of prefill upstreams")
     .action(async (service: string, flags: SetFlags, command: Command) => {
       await setSplit(createContext(command), service, flags);
     });
   split.command("leave <service>")
-    .description("leave the split as it is from now on")
+    .description("remove the setting; the current split stays as it is")
     .action(async (service: string, _: unknown, command: Command) => {
       await publishSplit(createContext(command), service, null);
     });
   split.command("show [service]")
-    .description("splits in force")
+    .description("show the splits in force")
     .action((service: string | undefined, _: unknown, command: Command) =>
       showRows(createContext(command), RowKey.split, service)
     );
--- a/src/programs/ctl/status.ts
+++ b/src/programs/ctl/status.ts
@@ -1,4 +1,4 @@
-/** otterhillctl status and explain: what the fleet says of itself. */
+/** otterhillctl status and explain: the fleet's state and a request's log. */
 import { createReadStream } from "node:fs";
 import { createInterface } from "node:readline";
 import type { Command } from "commander";
@@ -9,17 +9,16 @@
 import { findRequestLines, formatRequestLines } from "./story.ts";
 import { formatTable } from "./table.ts";
 
-/** Adds both commands. */
 export function addStatusCommands(program: Command): void {
   program.command("status")
-    .description("halls, hosts, upstreams and the versions in force")
+    .description("show halls, hosts, upstreams and the versions in force")
     .action(async (_: unknown, command: Command) => {
       await showStatus(createContext(command));
     });
   program.command("explain <request> [logs...]")
     .description(
-      "why a request was placed, moved or refused so; asks the hosts given, " +
-        "else reads log files, else standard input",
+      "show why a request was placed, moved or refused: from the given hosts, " +
+        "from log files, or from standard input",
     )
     .action(
       async (
@@ -51,10 +50,12 @@
       if (line.includes(request)) lines.push(line);
     }
   }
-  const story = findRequestLines(lines, request);
-  if (story.length === 0) process.exitCode = ExitCode.failure;
+  const found = findRequestLines(lines, request);
+  if (found.length === 0) process.exitCode = ExitCode.failure;
   const none = `No line names the request ${request}`;
-  context.show(story.length > 0 ? formatRequestLines(story) : none, { story });
+  context.show(found.length > 0 ? formatRequestLines(found) : none, {
+    story: found,
+  });
 }
 
 async function showStatus(context: CommandContext): Promise<void> {
@@ -68,7 +69,10 @@
       failed.push(error instanceof Error ? error.message : String(error));
     }
   }
-  const text = [formatStatuses(statuses), ...failed.map((one) => `! ${one}`)];
+  const text = [
+    formatStatuses(statuses),
+    ...failed.map((message) => `! ${message}`),
+  ];
   context.show(text.join("\n"), { statuses, failed });
   if (statuses.length === 0) process.exitCode = ExitCode.failure;
   else if (failed.length > 0) process.exitCode = ExitCode.unknown;
@@ -77,19 +81,19 @@
 function formatStatuses(statuses: readonly Status[]): string {
   const hosts = formatTable(
     ["host", "hall", "settings", "list", "platform", "requests", "not live"],
-    statuses.map((one) => [
-      one.host,
-      one.hall,
-      String(one.settingsVersion),
-      String(one.listRevision),
-      one.platformAnswers ? "answers" : "silent",
-      String(one.requests),
-      one.hosts.filter((host) => !host.live).map((host) => host.id)
+    statuses.map((status) => [
+      status.host,
+      status.hall,
+      String(status.settingsVersion),
+      String(status.listRevision),
+      status.platformAnswers ? "answers" : "silent",
+      String(status.requests),
+      status.hosts.filter((host) => !host.live).map((host) => host.id)
         .join(" ") || "-",
     ]),
   );
-  const upstreams = statuses.flatMap((one) =>
-    one.upstreams.filter((row) => row.planner === one.host)
+  const upstreams = statuses.flatMap((status) =>
+    status.upstreams.filter((row) => row.planner === status.host)
   );
   const rows = formatTable(
     ["upstream", "hall", "service", "role", "planner", "state", "held"],
@@ -128,9 +132,9 @@
     }
   }
   const text = lines
-    .map((one) =>
-      `${new Date(one.atMs).toISOString()} ${one.part}: ${one.sentence} ` +
-      one.fields
+    .map((line) =>
+      `${new Date(line.atMs).toISOString()} ${line.part}: ${line.sentence} ` +
+      line.fields
     )
     .join("\n");
   context.show(text || "no host remembers this request", lines);
--- a/src/programs/ctl/stop.ts
+++ b/src/programs/ctl/stop.ts
@@ -1,4 +1,4 @@
-/** otterhillctl stop: plan, watch and cancel stops of upstreams. */
+/** otterhillctl stop: plan, watch and cancel planned stops of upstreams. */
 import type { Command } from "commander";
 import { readRow, stopKey } from "../../operators/publish.ts";
 import { callControl } from "../../shell/mod.ts";
@@ -9,27 +9,27 @@
   publishAndReport,
 } from "./context.ts";
 
-/** Time between two looks. */
 const POLL_INTERVAL_MS = 1000;
-/** A stop just planned may not be seen by the host asked until then. */
+/** Time for a new stop to become visible on the host that is polled. */
 const STOP_PROPAGATION_TIMEOUT_MS = 12_000;
 
-/** Adds the stop commands. */
 export function addStopCommands(program: Command): void {
   const stop = program.command("stop")
-    .description("planned stops of upstreams; nothing in progress is cut");
+    .description(
+      "planned stops of upstreams; running requests are not interrupted",
+    );
   stop.command("plan <upstream>")
-    .description("give the upstream no new work")
+    .description("stop sending new requests to the upstream")
     .action(async (upstream: string, _: unknown, command: Command) => {
       await setStop(createContext(command), upstream, true);
     });
   stop.command("cancel <upstream>")
-    .description("give the upstream work again")
+    .description("resume sending requests to the upstream")
     .action(async (upstream: string, _: unknown, command: Command) => {
       await setStop(createContext(command), upstream, false);
     });
   stop.command("watch <upstream>")
-    .description("wait until nothing runs there, by its own count")
+    .description("wait until the upstream reports no running attempts")
     .action(async (upstream: string, _: unknown, command: Command) => {
       await waitUntilIdle(createContext(command), upstream);
     });
@@ -58,51 +58,54 @@
   context: CommandContext,
   upstream: string,
 ): Promise<void> {
-  const from = Date.now();
-  let seen = false;
+  const startedAt = Date.now();
+  let stopSeen = false;
   for (;;) {
     const row = await readRow(context.store, stopKey(upstream));
-    seen ||= row !== undefined;
-    const late = Date.now() - from > STOP_PROPAGATION_TIMEOUT_MS;
-    if (!row && (seen || late)) {
+    stopSeen ||= row !== undefined;
+    const timedOut = Date.now() - startedAt > STOP_PROPAGATION_TIMEOUT_MS;
+    if (!row && (stopSeen || timedOut)) {
       context.show("no stop is planned", { upstream, planned: false });
       process.exitCode = ExitCode.failure;
       return;
     }
-    const { taking, held } = await pollHosts(context, upstream);
-    if (row && taking.length === 0 && held === 0) {
+    const { acceptingHosts, attempts } = await pollHosts(context, upstream);
+    if (row && acceptingHosts.length === 0 && attempts === 0) {
       return context.show(
         `${upstream} holds nothing; it can be stopped`,
-        { upstream, held, taking },
+        { upstream, held: attempts, taking: acceptingHosts },
       );
     }
     if (!context.flags.json) {
-      const late = taking.length > 0
-        ? `, not yet in force on ${taking.join(", ")}`
+      const pending = acceptingHosts.length > 0
+        ? `, not yet in force on ${acceptingHosts.join(", ")}`
         : "";
-      console.log(`${upstream} holds ${held ?? "(not reached)"}${late}`);
+      console.log(`${upstream} holds ${attempts ?? "(not reached)"}${pending}`);
     }
     await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
   }
 }
 
-/** Hosts that would still give it work, and what it holds. */
+/**
+ * Polls all hosts: which of them still accept the upstream for new requests,
+ * and how many attempts the upstream reports (undefined if none reached it).
+ */
 async function pollHosts(context: CommandContext, upstream: string) {
-  const taking: string[] = [];
-  let held: number | undefined;
+  const acceptingHosts: string[] = [];
+  let attempts: number | undefined;
   for (const target of context.hosts) {
     try {
       const status = await callControl(target, { $case: "status", value: {} });
       if (status.$case !== "status") continue;
-      const row = status.value.upstreams.find((one) => one.id === upstream);
-      if (row?.accepting !== false) taking.push(status.value.host);
+      const row = status.value.upstreams.find((entry) => entry.id === upstream);
+      if (row?.accepting !== false) acceptingHosts.push(status.value.host);
       const value = { upstream };
       const answer = await callControl(target, { $case: "held", value });
       if (answer.$case !== "held" || !answer.value.reached) continue;
-      held = answer.value.attempts.length;
+      attempts = answer.value.attempts.length;
     } catch (error) {
       console.error(error instanceof Error ? error.message : String(error));
     }
   }
-  return { taking, held };
+  return { acceptingHosts, attempts };
 }
--- a/src/programs/ctl/story.ts
+++ b/src/programs/ctl/story.ts
@@ -1,8 +1,8 @@
-/** A request's story from the log lines of any number of hosts. */
+/** Finds the log lines of a request in the merged logs of several hosts. */
 
-/** One line of a gateway's log that names the request. */
+/** A line of a gateway's log with the request's id. */
 export type RequestLogLine = {
-  /** ISO 8601, by the clock of its host. */
+  /** ISO 8601, by the host's clock. */
   readonly time: string;
   readonly host: string;
   readonly event: string;
@@ -10,7 +10,7 @@
   readonly fields: Readonly<Record<string, unknown>>;
 };
 
-/** Fields of every line, which the story tells otherwise or not at all. */
+/** Common log fields that are shown separately or not at all. */
 const OMITTED_FIELDS: ReadonlySet<string> = new Set([
   "name",
   "host",
@@ -24,51 +24,54 @@
   "v",
 ]);
 
-/** The lines that name a request, by time; other lines are passed over. */
+/**
+ * Returns the log lines whose `request` field is the given id, sorted by time.
+ * Skips all other lines, including lines that aren't JSON.
+ */
 export function findRequestLines(
   lines: Iterable<string>,
   request: string,
 ): RequestLogLine[] {
-  const story: RequestLogLine[] = [];
+  const found: RequestLogLine[] = [];
   for (const line of lines) {
     if (!line.includes(request)) continue;
-    const read = parseLogLine(line);
-    if (read?.["request"] !== request) continue;
-    story.push(toRequestLogLine(read));
+    const record = parseLogLine(line);
+    if (record?.["request"] !== request) continue;
+    found.push(toRequestLogLine(record));
   }
-  return story.sort((a, b) => a.time < b.time ? -1 : a.time > b.time ? 1 : 0);
+  return found.sort((a, b) => a.time < b.time ? -1 : a.time > b.time ? 1 : 0);
 }
 
-/** A line of JSON, whatever a log collector put before it. */
+/** Parses a JSON log line; ignores a prefix added by a log collector. */
 function parseLogLine(line: string): Record<string, unknown> | undefined {
   const start = line.indexOf("{");
   if (start < 0) return undefined;
   try {
-    const read: unknown = JSON.parse(line.slice(start));
-    return typeof read === "object" && read !== null
-      ? read as Record<string, unknown>
+    const record: unknown = JSON.parse(line.slice(start));
+    return typeof record === "object" && record !== null
+      ? record as Record<string, unknown>
       : undefined;
   } catch {
     return undefined;
   }
 }
 
-function toRequestLogLine(read: Record<string, unknown>): RequestLogLine {
-  const fields = Object.entries(read).filter(([name]) =>
+function toRequestLogLine(record: Record<string, unknown>): RequestLogLine {
+  const fields = Object.entries(record).filter(([name]) =>
     !OMITTED_FIELDS.has(name)
   );
   return {
-    time: String(read["time"] ?? ""),
-    host: String(read["host"] ?? ""),
-    event: String(read["event"] ?? ""),
-    sentence: String(read["msg"] ?? ""),
+    time: String(record["time"] ?? ""),
+    host: String(record["host"] ?? ""),
+    event: String(record["event"] ?? ""),
+    sentence: String(record["msg"] ?? ""),
     fields: Object.fromEntries(fields),
   };
 }
 
-/** The story as text, one line an event. */
-export function formatRequestLines(story: readonly RequestLogLine[]): string {
-  return story.map((line) => {
+/** Formats log lines as text, one line per event. */
+export function formatRequestLines(lines: readonly RequestLogLine[]): string {
+  return lines.map((line) => {
     const fields = Object.entries(line.fields)
       .map(([name, value]) => `${name}=${String(value)}`);
     return [line.time, line.host, line.sentence, ...fields].join("  ");
--- a/src/programs/ctl/table.ts
+++ b/src/programs/ctl/table.ts
@@ -1,17 +1,17 @@
-/** Plain tables for people. */
+/** Plain-text tables. */
 
-/** Rows under a head, columns as wide as they need. */
+/** Formats rows under a header; each column is as wide as its longest cell. */
 export function formatTable(
-  head: readonly string[],
+  header: readonly string[],
   rows: readonly (readonly string[])[],
 ): string {
-  const all = [head, ...rows];
-  const widths = head.map((_, place) =>
-    Math.max(...all.map((row) => (row[place] ?? "").length))
+  const all = [header, ...rows];
+  const widths = header.map((_, column) =>
+    Math.max(...all.map((row) => (row[column] ?? "").length))
   );
   return all
     .map((row) =>
-      row.map((cell, place) => cell.padEnd(widths[place] ?? 0)).join("  ")
+      row.map((cell, column) => cell.padEnd(widths[column] ?? 0)).join("  ")
         .trimEnd()
     )
     .join("\n");
--- a/src/programs/ctl/template.ts
+++ b/src/programs/ctl/template.ts
@@ -14,12 +14,11 @@
 import { showHistory, showRows } from "./rows.ts";
 import { formatTable } from "./table.ts";
 
-/** Adds the template commands. */
 export function addTemplateCommands(program: Command): void {
   const template = program.command("template")
-    .description("templates that customers are made from");
+    .description("templates on which customers are based");
   template.command("validate <file>")
-    .description("check a template, also against its customers")
+    .description("validate a template and its customers")
     .action(async (file: string, _: unknown, command: Command) => {
       const context = createContext(command);
       const { checked } = await readAndCheck(context, file);
@@ -27,29 +26,29 @@
       context.show(`${file}: good`, { faults: [] });
     });
   template.command("diff <file>")
-    .description("what publishing a template would change")
+    .description("show what publishing a template would change")
     .action(async (file: string, _: unknown, command: Command) => {
       const context = createContext(command);
       const { value, checked } = await readAndCheck(context, file);
       showDifference(context, value, checked);
     });
   template.command("publish <file>")
-    .description("put a template in force everywhere")
+    .description("publish a template to the fleet")
     .action(async (file: string, _: unknown, command: Command) => {
       await publishTemplate(createContext(command), file);
     });
   template.command("show [name]")
-    .description("templates in force")
+    .description("show the templates in force")
     .action((name: string | undefined, _: unknown, command: Command) =>
       showRows(createContext(command), RowKey.template, name)
     );
   template.command("history <name>")
-    .description("changes of a template")
+    .description("show the changes of a template")
     .action((name: string, _: unknown, command: Command) =>
       showHistory(createContext(command), RowKey.template + name)
     );
   template.command("schema")
-    .description("parameters that a template can offer")
+    .description("list the parameters that a template can define")
     .action((_: unknown, command: Command) => showSchema(command));
 }
 
@@ -68,8 +67,8 @@
 ): void {
   if (reportFaults(context, checked.faults)) return;
   const before: unknown = JSON.parse(checked.before?.value ?? "null");
-  const lines = diffValues(before, value);
-  context.show(formatDifferences(lines), lines);
+  const entries = diffValues(before, value);
+  context.show(formatDifferences(entries), entries);
 }
 
 async function publishTemplate(context: CommandContext, file: string) {
--- a/src/programs/demo/fleet.ts
+++ b/src/programs/demo/fleet.ts
@@ -1,4 +1,4 @@
-/** The demo's fleet: platform, engines and entry hosts in one process. */
+/** Demo fleet: platform, engines and entry hosts in one process. */
 import type { ListEntry } from "../../core/mod.ts";
 import {
   checkSettings,
@@ -17,25 +17,25 @@
 import { sha256 } from "../../util/sha256.ts";
 import type { z } from "zod";
 
-/** The demo's data halls, region, model, plain service and API key. */
+/** Data halls of the demo fleet. */
 export const HALLS: readonly string[] = ["brest", "quimper", "lorient"];
 const REGION = "bzh-west";
-/** The demo's model. */
+/** Model that the engines serve. */
 export const MODEL = "recap-llm";
-/** The demo's plain service. */
+/** Name of the plain service. */
 export const SERVICE = "reel-api";
-/** The demo's API key. */
+/** API key of the demo customer. */
 export const API_KEY = "demo-key";
 
 /** A running demo fleet. */
 export type DemoFleet = {
-  /** Where callers reach the entry hosts. */
+  /** Caller addresses of the entry hosts. */
   readonly targets: readonly string[];
   readonly engines: readonly Engine[];
   stop(): Promise<void>;
 };
 
-/** Starts the fleet on loopback. */
+/** Starts the fleet on the loopback interface. */
 export async function startFleet(log: Log): Promise<DemoFleet> {
   const platform = await startPlatform(
     parseSettings(PlatformSchema, `listen = "127.0.0.1:0"`),
@@ -165,20 +165,20 @@
   ];
 }
 
-/** The hosts have read settings, list and load reports by then. */
+/** Time for the hosts to receive settings, the listing and load reports. */
 const REPORTS_DELAY_MS = 3500;
 
 async function waitUntilReady(targets: readonly string[]): Promise<void> {
   for (const target of targets) {
     for (;;) {
-      const answer = await fetch(`http://${target}/readyz`);
-      if (answer.status === 200) break;
+      const response = await fetch(`http://${target}/readyz`);
+      if (response.status === 200) break;
       await sleep(100);
     }
   }
   await sleep(REPORTS_DELAY_MS);
 }
 
-function sleep(span: number): Promise<void> {
-  return new Promise((resolve) => setTimeout(resolve, span));
+function sleep(ms: number): Promise<void> {
+  return new Promise((resolve) => setTimeout(resolve, ms));
 }
--- a/src/programs/demo/main.ts
+++ b/src/programs/demo/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The demo: a small fleet on loopback that serves a short workload. */
+/** Demo: runs a short workload on a small fleet over loopback. */
 import { checkSettings } from "../../settings/mod.ts";
 import { openLog } from "../../shell/mod.ts";
 import { makeCommand, onStopSignal, runProgram } from "../common/command.ts";
@@ -51,21 +51,24 @@
 
 const command = makeCommand(
   "demo",
-  "Serves a short workload on a small fleet over loopback.",
+  "Runs a short workload on a small fleet over loopback.",
 )
-  .option("--serve", "stay up for callers after the workload")
+  .option(
+    "--serve",
+    "keep the fleet running for callers instead of running the workload",
+  )
   .parse();
 
 await runProgram(() => main(command.opts<Flags>()));
 
 async function main(flags: Flags): Promise<void> {
-  console.log("Open by default in the demo: no TLS, no operator key.");
+  console.log("The demo runs without TLS and without an operator key.");
   const fleet = await startFleet(openLog("demo", "warn"));
   console.log(`Entry hosts: ${fleet.targets.join(" ")}`);
   if (flags.serve) return serveUntilStopped(fleet);
   const workload = checkSettings("demo", WORKLOAD, WorkloadSchema).unwrap();
   const outcomes = await runLoad(workload, fleet.targets);
-  console.log(`\nWhat was placed where (${HALLS.length} data halls):`);
+  console.log(`\nAttempts per engine (${HALLS.length} data halls):`);
   for (const engine of fleet.engines) console.log(formatEngine(engine));
   console.log(`\n${formatSummary(summarise(outcomes))}`);
   console.log(formatWaste(fleet));
@@ -81,12 +84,12 @@
 
 function formatWaste(fleet: DemoFleet): string {
   let prefilled = 0;
-  let thrown = 0;
+  let discarded = 0;
   for (const { record } of fleet.engines) {
     prefilled += record.prefilledTokens;
-    thrown += record.thrownTokens;
+    discarded += record.thrownTokens;
   }
-  const share = prefilled === 0 ? 0 : thrown / prefilled * 100;
+  const share = prefilled === 0 ? 0 : discarded / prefilled * 100;
   return `wasted prefill ${share.toFixed(1)}% of ${prefilled} tokens`;
 }
 
@@ -97,7 +100,7 @@
   -H 'Authorization: Bearer ${API_KEY}' -H 'Content-Type: application/json' \\
   -d '{"model":"${MODEL}","prompt":"Minute 12: a corner","max_tokens":20,"stream":true}'
 
-Ctrl-C ends it.`);
+Press Ctrl-C to stop.`);
   onStopSignal(() => {
     void fleet.stop().then(() => process.exit(ExitCode.ok));
   });
--- a/src/programs/load/main.ts
+++ b/src/programs/load/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** otterhill-load: open-loop load from a workload file. */
+/** otterhill-load: sends open-loop load from a workload file. */
 import { makeCommand, runProgram, settingsOrExit } from "../common/command.ts";
 import { runLoad } from "./run.ts";
 import { formatSummary, summarise } from "./summary.ts";
@@ -14,9 +14,9 @@
 
 const command = makeCommand(
   "otterhill-load",
-  "Sends a workload to entry hosts and measures the answers.",
+  "Sends a workload to entry hosts and measures the responses.",
 )
-  .requiredOption("-w, --workload <file>", "workload (TOML)")
+  .requiredOption("-w, --workload <file>", "workload file (TOML)")
   .option("--json", "print the summary as JSON")
   .argument("<addresses...>", "IP:port of entry hosts")
   .addHelpText("after", EXAMPLES)
--- a/src/programs/load/send.ts
+++ b/src/programs/load/send.ts
@@ -1,34 +1,35 @@
-/** Sends one request of a workload and measures its answer. */
+/** Sends a request of a workload and measures the response. */
 import { createParser } from "eventsource-parser";
 import { HttpFailure, openCall, readText } from "../../shell/mod.ts";
 import type { Arrival } from "./workload.ts";
 
-/** How one request went. */
+/** Outcome of a request. */
 export type Outcome = {
   readonly arrival: Arrival;
   readonly target: string;
-  /** From the intended send time. */
+  /** Measured from the scheduled send time, not the actual one. */
   readonly firstTokenMs?: number;
   readonly betweenTokensMs?: number;
   readonly tokens: number;
   readonly error?: string;
   readonly retryAfterSeconds?: number;
+  /** Whether the response met its latency targets. */
   readonly good: boolean;
 };
 
-/** A stream may be silent this long. */
+/** Timeout for the connection, and between two reads of a stream. */
 const IDLE_TIMEOUT_MS = 30_000;
 
 /** Sends a request to an entry host. */
 export async function send(
   arrival: Arrival,
   target: string,
-  intendedAt: number,
+  scheduledAt: number,
 ): Promise<Outcome> {
   try {
     return arrival.stream.plain
-      ? await sendPlain(arrival, target, intendedAt)
-      : await sendStream(arrival, target, intendedAt);
+      ? await sendPlain(arrival, target, scheduledAt)
+      : await sendStream(arrival, target, scheduledAt);
   } catch (error) {
     const reason = error instanceof HttpFailure ? "connection" : String(error);
     return { arrival, target, tokens: 0, error: reason, good: false };
@@ -42,9 +43,9 @@
 async function sendPlain(
   arrival: Arrival,
   target: string,
-  intendedAt: number,
+  scheduledAt: number,
 ): Promise<Outcome> {
-  const answer = await openCall({
+  const response = await openCall({
     address: target,
     method: "POST",
     path: `/plain/${arrival.stream.service}/`,
@@ -52,9 +53,9 @@
     body: JSON.stringify({ text: arrival.prompt }),
     connectTimeoutMs: IDLE_TIMEOUT_MS,
   });
-  const text = await readText(answer);
-  if (answer.statusCode !== 200) return refusedOutcome(arrival, target, text);
-  const firstTokenMs = performance.now() - intendedAt;
+  const text = await readText(response);
+  if (response.statusCode !== 200) return refusedOutcome(arrival, target, text);
+  const firstTokenMs = performance.now() - scheduledAt;
   const good = firstTokenMs <= arrival.stream.first_token;
   return { arrival, target, firstTokenMs, tokens: 0, good };
 }
@@ -62,10 +63,10 @@
 async function sendStream(
   arrival: Arrival,
   target: string,
-  intendedAt: number,
+  scheduledAt: number,
 ): Promise<Outcome> {
   const { stream, prompt, outputTokens } = arrival;
-  const answer = await openCall({
+  const response = await openCall({
     address: target,
     method: "POST",
     path: "/v1/completions",
@@ -79,40 +80,40 @@
     connectTimeoutMs: IDLE_TIMEOUT_MS,
     silenceTimeoutMs: IDLE_TIMEOUT_MS,
   });
-  if (answer.statusCode !== 200) {
-    return refusedOutcome(arrival, target, await readText(answer));
+  if (response.statusCode !== 200) {
+    return refusedOutcome(arrival, target, await readText(response));
   }
-  const times: number[] = [];
+  const eventTimes: number[] = [];
   let error: string | undefined;
-  let ended = false;
+  let completed = false;
   const parser = createParser({
     onEvent: ({ data }) => {
-      if (data === "[DONE]") ended = true;
+      if (data === "[DONE]") completed = true;
       else if (data.startsWith('{"error"')) error = parseErrorCode(data);
-      else times.push(performance.now());
+      else eventTimes.push(performance.now());
     },
   });
-  answer.setEncoding("utf8");
-  for await (const part of answer) parser.feed(String(part));
-  if (!ended) error ??= "broken";
-  return measureStream(arrival, target, intendedAt, times, error);
+  response.setEncoding("utf8");
+  for await (const chunk of response) parser.feed(String(chunk));
+  if (!completed) error ??= "broken";
+  return measureStream(arrival, target, scheduledAt, eventTimes, error);
 }
 
-/** The closing event carries no token, so it is left out. */
+/** Computes latencies of a stream; its last event carries no token. */
 function measureStream(
   arrival: Arrival,
   target: string,
-  intendedAt: number,
-  times: readonly number[],
+  scheduledAt: number,
+  eventTimes: readonly number[],
   error: string | undefined,
 ): Outcome {
-  const tokens = Math.max(0, times.length - 1);
-  const first = times[0];
-  const last = times[tokens - 1];
+  const tokens = Math.max(0, eventTimes.length - 1);
+  const first = eventTimes[0];
+  const last = eventTimes[tokens - 1];
   if (first === undefined || last === undefined || error !== undefined) {
     return { arrival, target, tokens, error: error ?? "empty", good: false };
   }
-  const firstTokenMs = first - intendedAt;
+  const firstTokenMs = first - scheduledAt;
   const betweenTokensMs = tokens > 1 ? (last - first) / (tokens - 1) : 0;
   const { first_token, between_tokens } = arrival.stream;
   const good = firstTokenMs <= first_token &&
--- a/src/programs/load/summary.ts
+++ b/src/programs/load/summary.ts
@@ -1,17 +1,17 @@
-/** Sums up the outcomes of a load. */
+/** Summarises the outcomes of a load run. */
 import hdr, { type Histogram } from "hdr-histogram-js";
 import type { Outcome } from "./send.ts";
 
-/** Histograms count microseconds. */
+/** Histograms record microseconds. */
 const MICROSECONDS_PER_MS = 1000;
 
-/** What a load came to. */
+/** Totals and latency percentiles of a load run. */
 export type Summary = {
   readonly requests: number;
   readonly good: number;
   readonly answered: number;
   readonly tokens: number;
-  /** Ends without a whole answer, by kind. */
+  /** Number of requests without a complete response, by error code. */
   readonly errors: Readonly<Record<string, number>>;
   readonly firstToken: Percentiles;
   readonly betweenTokens: Percentiles;
@@ -24,21 +24,20 @@
   readonly p99: number;
 };
 
-/** Sums up. */
 export function summarise(outcomes: readonly Outcome[]): Summary {
-  const first = newHistogram();
-  const between = newHistogram();
+  const firstToken = newHistogram();
+  const betweenTokens = newHistogram();
   const errors: Record<string, number> = {};
   let good = 0;
   let answered = 0;
   let tokens = 0;
-  for (const one of outcomes) {
-    tokens += one.tokens;
-    if (one.good) good += 1;
-    if (one.error === undefined) answered += 1;
-    else errors[one.error] = (errors[one.error] ?? 0) + 1;
-    record(first, one.firstTokenMs);
-    record(between, one.betweenTokensMs);
+  for (const outcome of outcomes) {
+    tokens += outcome.tokens;
+    if (outcome.good) good += 1;
+    if (outcome.error === undefined) answered += 1;
+    else errors[outcome.error] = (errors[outcome.error] ?? 0) + 1;
+    record(firstToken, outcome.firstTokenMs);
+    record(betweenTokens, outcome.betweenTokensMs);
   }
   return {
     requests: outcomes.length,
@@ -46,8 +45,8 @@
     answered,
     tokens,
     errors,
-    firstToken: percentiles(first),
-    betweenTokens: percentiles(between),
+    firstToken: percentiles(firstToken),
+    betweenTokens: percentiles(betweenTokens),
   };
 }
 
@@ -61,26 +60,26 @@
 }
 
 function percentiles(histogram: Histogram): Percentiles {
-  const at = (share: number): number =>
-    histogram.getValueAtPercentile(share) / MICROSECONDS_PER_MS;
+  const at = (percentile: number): number =>
+    histogram.getValueAtPercentile(percentile) / MICROSECONDS_PER_MS;
   return { p50: at(50), p95: at(95), p99: at(99) };
 }
 
-/** A summary as lines of text. */
+/** Formats a summary as text. */
 export function formatSummary(summary: Summary): string {
-  const share = summary.requests === 0
+  const goodPercent = summary.requests === 0
     ? 0
     : summary.good / summary.requests * 100;
-  const row = (name: string, its: Percentiles): string =>
-    `${name.padEnd(15)}p50 ${its.p50.toFixed(1)} ms  ` +
-    `p95 ${its.p95.toFixed(1)} ms  p99 ${its.p99.toFixed(1)} ms`;
+  const row = (label: string, latency: Percentiles): string =>
+    `${label.padEnd(15)}p50 ${latency.p50.toFixed(1)} ms  ` +
+    `p95 ${latency.p95.toFixed(1)} ms  p99 ${latency.p99.toFixed(1)} ms`;
   const errors = Object.entries(summary.errors)
-    .map(([kind, count]) => `${kind} ${count}`)
+    .map(([code, count]) => `${code} ${count}`)
     .join(", ");
   return [
     `requests       ${summary.requests}, answered ${summary.answered}, ` +
     `tokens ${summary.tokens}`,
-    `goodput        ${share.toFixed(1)}% met both targets`,
+    `goodput        ${goodPercent.toFixed(1)}% met both targets`,
     row("first token", summary.firstToken),
     row("between tokens", summary.betweenTokens),
     `not answered   ${errors || "none"}`,
--- a/src/programs/load/workload.ts
+++ b/src/programs/load/workload.ts
@@ -1,4 +1,4 @@
-/** A workload: streams of requests that arrive at random, with bursts. */
+/** Workloads: streams of requests with Poisson arrivals and periodic bursts. */
 import { xoroshiro128plus } from "pure-rand";
 import * as z from "zod";
 import { draw } from "../../core/mod.ts";
@@ -13,8 +13,9 @@
   plain: z.boolean().default(false),
   requests_per_second: z.number().positive(),
   prompt_tokens: Range.default([60, 200]),
-  /** Different leading parts, and how much of a prompt they are. */
+  /** Number of distinct shared prompt prefixes; 0 for none. */
   shared_prefixes: z.int().min(0).default(0),
+  /** Share of a prompt's length that its shared prefix takes up. */
   shared_share: z.number().min(0).max(1).default(0.8),
   output_tokens: Range.default([10, 60]),
   first_token: duration("560ms"),
@@ -24,33 +25,33 @@
   burst_factor: z.number().min(1).default(1),
 });
 
-/** The schema of a workload file. */
+/** Schema of a workload file. */
 export const WorkloadSchema = z.strictObject({
   seed: z.int().default(1),
   duration: duration("20s"),
   streams: z.array(Stream).min(1),
 });
-/** A checked workload. */
+/** A validated workload. */
 export type Workload = z.output<typeof WorkloadSchema>;
 /** One stream of a workload. */
 export type WorkloadStream = Workload["streams"][number];
 
-/** One request to be sent. */
+/** A request to send. */
 export type Arrival = {
-  /** Milliseconds from the start. */
+  /** Milliseconds since the start of the run. */
   readonly at: number;
   readonly stream: WorkloadStream;
   readonly prompt: string;
   readonly outputTokens: number;
 };
 
-/** Characters for one token, as the router counts. */
+/** Must match the router's estimate of characters per token. */
 const CHARACTERS_PER_TOKEN = 4;
 
-/** All arrivals of a workload, in order of time. */
+/** Generates all arrivals of a workload, sorted by time. */
 export function generateArrivals(workload: Workload): Arrival[] {
-  const all = workload.streams.flatMap((stream, place) =>
-    generateStreamArrivals(workload, stream, workload.seed * 100 + place)
+  const all = workload.streams.flatMap((stream, index) =>
+    generateStreamArrivals(workload, stream, workload.seed * 100 + index)
   );
   return all.sort((a, b) => a.at - b.at);
 }
@@ -61,41 +62,41 @@
   seed: number,
 ): Arrival[] {
   const random = xoroshiro128plus(seed);
-  const unit = (): number => (draw(random, 1_000_000) + 1) / 1_000_001;
-  const between = ([low, high]: readonly [number, number]): number =>
+  const uniform = (): number => (draw(random, 1_000_000) + 1) / 1_000_001;
+  const intInRange = ([low, high]: readonly [number, number]): number =>
     low + draw(random, Math.max(1, high - low + 1));
-  const made: Arrival[] = [];
+  const generated: Arrival[] = [];
   let at = 0;
   for (;;) {
     const rate = stream.requests_per_second * burstFactor(stream, at);
-    at += -Math.log(unit()) / rate * 1000;
-    if (at >= workload.duration) return made;
-    const tokens = between(stream.prompt_tokens);
+    at += -Math.log(uniform()) / rate * 1000;
+    if (at >= workload.duration) return generated;
+    const tokens = intInRange(stream.prompt_tokens);
     const group = draw(random, Math.max(1, stream.shared_prefixes));
-    const prompt = makePrompt(stream, group, tokens, made.length);
-    const outputTokens = between(stream.output_tokens);
-    made.push({ at, stream, prompt, outputTokens });
+    const prompt = makePrompt(stream, group, tokens, generated.length);
+    const outputTokens = intInRange(stream.output_tokens);
+    generated.push({ at, stream, prompt, outputTokens });
   }
 }
 
 function burstFactor(stream: WorkloadStream, at: number): number {
   if (stream.burst_every === 0) return 1;
-  const into = at % stream.burst_every;
-  return into < stream.burst_length ? stream.burst_factor : 1;
+  const sinceBurstStart = at % stream.burst_every;
+  return sinceBurstStart < stream.burst_length ? stream.burst_factor : 1;
 }
 
 function makePrompt(
   stream: WorkloadStream,
   group: number,
   tokens: number,
-  number: number,
+  index: number,
 ): string {
   const length = tokens * CHARACTERS_PER_TOKEN;
   const share = stream.shared_prefixes > 0 ? stream.shared_share : 0;
-  const shared = Math.floor(length * share);
-  const head = repeatToLength(`${stream.name} log ${group}: `, shared);
-  return head +
-    repeatToLength(`${stream.name} line ${number}. `, length - shared);
+  const prefixLength = Math.floor(length * share);
+  const prefix = repeatToLength(`${stream.name} log ${group}: `, prefixLength);
+  return prefix +
+    repeatToLength(`${stream.name} line ${index}. `, length - prefixLength);
 }
 
 function repeatToLength(text: string, length: number): string {
--- a/src/programs/router/main.ts
+++ b/src/programs/router/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** otterhill-router: an entry host. */
+/** otterhill-router: runs an entry host. */
 import { RouterSchema } from "../../settings/mod.ts";
 import { openLog, startHost } from "../../shell/mod.ts";
 import {
@@ -21,10 +21,10 @@
 
 const command = makeCommand(
   "otterhill-router",
-  "Serves callers: places each request on prefill and decode upstreams.",
+  "Routes each caller's request to prefill and decode upstreams.",
 )
   .option("-s, --settings <file>", "settings of this host (TOML)")
-  .option("--check-settings <file>", "check a settings file and end")
+  .option("--check-settings <file>", "check a settings file and exit")
   .addHelpText("after", EXAMPLES)
   .parse();
 
--- a/src/programs/standin/main.ts
+++ b/src/programs/standin/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** otterhill-standin: an engine, a plain service or the platform. */
+/** otterhill-standin: simulates an engine, a plain service or the platform. */
 import {
   EngineSchema,
   PlainSchema,
@@ -25,7 +25,7 @@
 
 const program = makeCommand(
   "otterhill-standin",
-  "Stand-ins for what otterhill works with, for tests and demos.",
+  "Simulates the services that otterhill depends on, for tests and demos.",
 ).addHelpText("after", EXAMPLES);
 
 addStandinCommand(
@@ -40,19 +40,19 @@
 );
 addStandinCommand(
   "platform",
-  "the platform's table, objects and host list",
+  "the platform: settings table, objects and host list",
   (file) => startPlatform(settingsOrExit(file, PlatformSchema)),
 );
 await program.parseAsync();
 
 function addStandinCommand(
-  kind: string,
-  what: string,
+  name: string,
+  description: string,
   start: (file: string) => Promise<RunningStandin>,
 ): void {
-  program.command(kind)
-    .description(`runs ${what}`)
-    .requiredOption("-s, --settings <file>", "settings (TOML)")
+  program.command(name)
+    .description(`runs ${description}`)
+    .requiredOption("-s, --settings <file>", "settings file (TOML)")
     .action(({ settings }: { settings: string }) =>
       runProgram(async () => {
         const running = await start(settings);
--- a/test/programs/story_test.ts
+++ b/test/programs/story_test.ts
@@ -1,4 +1,4 @@
-/** A request's story from mixed logs. */
+/** Tests of finding a request's lines in the logs of several hosts. */
 import assert from "node:assert/strict";
 import { spawn } from "node:child_process";
 import { test } from "node:test";
@@ -12,7 +12,7 @@
   return JSON.stringify({ ...base, request, reason: "r", msg, time });
 }
 
-test("lines of several hosts make one story in order of time", () => {
+test("sorts a request's lines from several hosts by time", () => {
   const lines = [
     line("2026-12-02T10:00:02Z", "1", "requests: A request is answered"),
     "not JSON at all 1",
@@ -20,16 +20,16 @@
     `   3.1 frontend-1 ${line("2026-12-02T10:00:01Z", "1", "placement: sent")}`,
     '{"request": "1", cut',
   ];
-  const story = findRequestLines(lines, "1");
-  assert.deepEqual(story.map((one) => one.sentence), [
+  const found = findRequestLines(lines, "1");
+  assert.deepEqual(found.map((entry) => entry.sentence), [
     "placement: sent",
     "requests: A request is answered",
   ]);
-  const [first] = formatRequestLines(story).split("\n");
+  const [first] = formatRequestLines(found).split("\n");
   assert.equal(first, "2026-12-02T10:00:01Z  h1  placement: sent  reason=r");
 });
 
-test("an id that no line names has no story", () => {
+test("returns no lines for an unknown request id", () => {
   assert.deepEqual(findRequestLines([line("t", "1", "m")], "2"), []);
 });
 
@@ -39,15 +39,15 @@
   const main = "dist/src/programs/ctl/main.js";
   const child = spawn(process.execPath, [main, "explain", request]);
   let out = "";
-  child.stdout.on("data", (part: Buffer) => out += part.toString("utf8"));
-  child.stderr.on("data", (part: Buffer) => out += part.toString("utf8"));
+  child.stdout.on("data", (chunk: Buffer) => out += chunk.toString("utf8"));
+  child.stderr.on("data", (chunk: Buffer) => out += chunk.toString("utf8"));
   child.stdin.end(input);
   return new Promise((resolve) => {
     child.on("close", (code) => resolve({ code, out }));
   });
 }
 
-test("explain reads standard input, without any host or platform", async () => {
+test("explain reads standard input when no host is given", async () => {
   const found = await explain("1", `${line("t", "1", "placement: sent")}\n`);
   assert.deepEqual(found, {
     code: 0,
--- a/test/programs/versions_test.ts
+++ b/test/programs/versions_test.ts
@@ -1,4 +1,4 @@
-/** What is in force on the gateways of a fleet, as otterhillctl tells it. */
+/** Tests of `otterhillctl versions`. */
 import assert from "node:assert/strict";
 import { spawn } from "node:child_process";
 import { createServer } from "node:http";
@@ -21,12 +21,12 @@
 }
 
 function host(address: string, settings: string, routes = 7): HostVersions {
-  const read = parseHostVersions(address, page(settings, routes));
-  assert.ok(read);
-  return read;
+  const versions = parseHostVersions(address, page(settings, routes));
+  assert.ok(versions);
+  return versions;
 }
 
-test("hosts without the usual version are named, and so are refused reloads", () => {
+test("lists hosts that deviate from the most common version, and refused reloads", () => {
   const hosts = [host("a:1", "x"), host("b:1", "x"), host("c:1", "y", 6)];
   const refusing = parseHostVersions("d:1", page("x", 7, 2));
   assert.ok(refusing);
@@ -39,7 +39,7 @@
   ]);
 });
 
-test("a page without versions is no answer", () => {
+test("returns undefined for a metrics page without versions", () => {
   assert.equal(parseHostVersions("a:1", new Metrics().page({})), undefined);
 });
 
@@ -56,7 +56,7 @@
   });
 }
 
-test("a settings version is the fleet's, not the host's", () => {
+test("the settings version ignores settings specific to one host", () => {
   const first = settingsVersion(settingsOf({}, "a"));
   assert.equal(
     settingsVersion(settingsOf({ seeds: ["1.1.1.3:1"] }, "b")),
@@ -81,13 +81,13 @@
   const main = "dist/src/programs/ctl/main.js";
   const child = spawn(process.execPath, [main, "versions", ...args]);
   let out = "";
-  child.stdout.on("data", (part: Buffer) => out += part.toString("utf8"));
+  child.stdout.on("data", (chunk: Buffer) => out += chunk.toString("utf8"));
   return new Promise((resolve) => {
     child.on("close", (code) => resolve({ code, out: out.trim() }));
   });
 }
 
-test("versions ends well only when all hosts answer and agree", async (t) => {
+test("versions exits with 0 only when all hosts respond and agree", async (t) => {
   const same = [await serve(t, page("x", 7)), await serve(t, page("x", 7))];
   assert.deepEqual(await run(same), {
     code: 0,
