--- a/src/programs/ctl/customer.ts
+++ b/src/programs/ctl/customer.ts
@@ -2,14 +2,14 @@
 import type { Command } from "commander";
 import { type Customer, RowKey } from "../../core/mod.ts";
 import { checkCustomer } from "../../operators/checks.ts";
-import { differences, differenceText } from "../../operators/diff.ts";
+import { diffValues, formatDifferences } from "../../operators/diff.ts";
 import { readRow } from "../../operators/publish.ts";
 import { sha256 } from "../../util/sha256.ts";
 import {
-  type Context,
-  contextOf,
-  publishAndTell,
-  tellFaults,
+  type CommandContext,
+  createContext,
+  publishAndReport,
+  reportFaults,
 } from "./context.ts";
 import { showHistory, showRows } from "./rows.ts";
 
@@ -19,15 +19,17 @@
   readonly base?: string;
 };
 
-/** Adds the customer commands. */
-export function addCustomer(program: Command): void {
+export function addCustomerCommands(program: Command): void {
   const customer = program.command("customer")
     .description("customers and their parameters");
   customer.command("set <name> [parameters...]")
     .description("set parameters: priority=7 models=recap-llm,tagger")
-    .option("--template <name>", "the template that it is made from")
-    .option("--add-key <key...>", "API keys; only their hashes are kept")
-    .option("--base <version>", "the version that the change is made against")
+    .option("--template <name>", "the template on which the customer is based")
+    .option(
+      "--add-key <key...>",
+      "API keys to add; only their hashes are stored",
+    )
+    .option("--base <version>", "the version on which the change is based")
     .action(
       async (
         name: string,
@@ -35,23 +37,23 @@
         flags: SetFlags,
         command: Command,
       ) => {
-        await setCustomer(contextOf(command), name, parameters, flags);
+        await setCustomer(createContext(command), name, parameters, flags);
       },
     );
   customer.command("show [name]")
-    .description("customers in force")
+    .description("show the customers in force")
     .action((name: string | undefined, _: unknown, command: Command) =>
-      showRows(contextOf(command), RowKey.customer, name)
+      showRows(createContext(command), RowKey.customer, name)
     );
   customer.command("history <name>")
-    .description("changes of a customer")
+    .description("show the changes of a customer")
     .action((name: string, _: unknown, command: Command) =>
-      showHistory(contextOf(command), RowKey.customer + name)
+      showHistory(createContext(command), RowKey.customer + name)
     );
 }
 
 async function setCustomer(
-  context: Context,
+  context: CommandContext,
   name: string,
   parameters: readonly string[],
   flags: SetFlags,
@@ -60,11 +62,14 @@
   const before = row?.value
     ? JSON.parse(row.value) as Customer
     : { name, template: "", parameters: {}, key_hashes: [] };
-  const given = parameters.map(parseParameter);
+  const changedParameters = parameters.map(parseParameter);
   const after = {
     ...before,
     template: flags.template ?? before.template,
-    parameters: { ...before.parameters, ...Object.fromEntries(given) },
+    parameters: {
+      ...before.parameters,
+      ...Object.fromEntries(changedParameters),
+    },
     key_hashes: [
       ...new Set([
         ...before.key_hashes,
@@ -73,11 +78,11 @@
     ],
   };
   const checked = await checkCustomer(context.store, after);
-  if (tellFaults(context, checked.faults)) return;
+  if (reportFaults(context, checked.faults)) return;
   if (!context.flags.json) {
-    console.log(differenceText(differences(row ? before : null, after)));
+    console.log(formatDifferences(diffValues(row ? before : null, after)));
   }
-  await publishAndTell(context, {
+  await publishAndReport(context, {
     key: RowKey.customer + name,
     value: JSON.stringify(after),
     base: flags.base === undefined ? row?.revision ?? 0 : Number(flags.base),
@@ -85,12 +90,12 @@
   });
 }
 
-/** `name=value`: a number, a list with commas, or a word. */
+/** Parses `name=value`; the value is a number, a comma-separated list or text. */
 function parseParameter(text: string): readonly [string, unknown] {
-  const equals = text.indexOf("=");
-  const name = text.slice(0, Math.max(0, equals));
-  const value = text.slice(equals + 1);
+  const separator = text.indexOf("=");
+  const name = text.slice(0, Math.max(0, separator));
+  const value = text.slice(separator + 1);
   if (/^-?\d+(\.\d+)?$/.test(value)) return [name, Number(value)];
-  const lists = ["models", "adapters", "plain_services"];
-  return [name, lists.includes(name) ? value.split(",") : value];
+  const listNames = ["models", "adapters", "plain_services"];
+  return [name, listNames.includes(name) ? value.split(",") : value];
 }
--- a/src/programs/ctl/main.ts
+++ b/src/programs/ctl/main.ts
@@ -1,12 +1,12 @@
 #!/usr/bin/env node
-/** otterhillctl: the operators' command. */
+/** otterhillctl: command-line tool for operators. */
 import { makeCommand, runProgram } from "../common/command.ts";
-import { addCustomer } from "./customer.ts";
-import { addSplit } from "./split.ts";
-import { addStatus } from "./status.ts";
-import { addStop } from "./stop.ts";
-import { addTemplate } from "./template.ts";
-import { addVersions } from "./versions.ts";
+import { addCustomerCommands } from "./customer.ts";
+import { addSplitCommands } from "./split.ts";
+import { addStatusCommands } from "./status.ts";
+import { addStopCommands } from "./stop.ts";
+import { addTemplateCommands } from "./template.ts";
+import { addVersionsCommand } from "./versions.ts";
 
 const EXAMPLES = `
 Examples:
@@ -19,7 +19,7 @@
 
 The operator key is read from OTTERHILL_OPERATOR_KEY.
 Exit codes: 0 done, 1 could not be done, 2 faulty command line or settings,
-3 conflict, 4 not known whether it was done (or only done in part).`;
+3 conflict, 4 unknown whether it was done (or done only in part).`;
 
 const program = makeCommand(
   "otterhillctl",
@@ -29,17 +29,17 @@
   .option(
     "-H, --host <address>",
     "IP:port of an entry host's peer listener; may be repeated",
-    (address: string, before: string[] = []) => [...before, address],
+    (address: string, previous: string[] = []) => [...previous, address],
   )
-  .option("--author <name>", "name kept with changes")
+  .option("--author <name>", "author recorded with changes")
   .option("--json", "print JSON")
   .addHelpText("after", EXAMPLES);
-addTemplate(program);
-addCustomer(program);
-addStop(program);
-addSplit(program);
-addStatus(program);
-addVersions(program);
+addTemplateCommands(program);
+addCustomerCommands(program);
+addStopCommands(program);
+addSplitCommands(program);
+addStatusCommands(program);
+addVersionsCommand(program);
 await runProgram(async () => {
   await program.parseAsync();
 });
--- a/src/programs/ctl/versions.ts
+++ b/src/programs/ctl/versions.ts
@@ -1,44 +1,51 @@
-/** otterhillctl versions: what is in force on each gateway of a fleet. */
+/** otterhillctl versions: settings and routes in force on each gateway. */
 import type { Command } from "commander";
 import { ExitCode } from "../common/exit_code.ts";
-import { contextOf } from "./context.ts";
-import { fleetText, type HostVersions, versionsIn } from "./fleet_versions.ts";
+import { createContext } from "./context.ts";
+import {
+  formatFleetVersions,
+  type HostVersions,
+  parseHostVersions,
+} from "./fleet_versions.ts";
 
-/** A host that has not answered by then is told as silent. */
-const ANSWER_MS = 3000;
+/** A host that does not respond in time is listed as unreachable. */
+const RESPONSE_TIMEOUT_MS = 3000;
 
-/** Adds the command. */
-export function addVersions(program: Command): void {
+export function addVersionsCommand(program: Command): void {
   program.command("versions <metrics...>")
     .description(
       "settings and routes in force on gateways, by their metrics addresses " +
-        "(IP:port); ends with code 1 unless all answer and agree",
+        "(IP:port); exits with code 1 unless all respond and agree",
     )
     .action(async (addresses: string[], _: unknown, command: Command) => {
-      const answers = await Promise.all(addresses.map(askHost));
-      const hosts = answers.filter((one) => typeof one !== "string");
-      const silent = answers.filter((one) => typeof one === "string");
-      const text = fleetText(hosts, silent);
-      contextOf(command).show(text, { hosts, silent });
-      if (silent.length > 0 || !agree(hosts)) {
+      const results = await Promise.all(addresses.map(fetchHostVersions));
+      const hosts = results.filter((result) => typeof result !== "string");
+      const unreachable = results.filter((result) =>
+        typeof result === "string"
+      );
+      const text = formatFleetVersions(hosts, unreachable);
+      createContext(command).show(text, { hosts, silent: unreachable });
+      if (unreachable.length > 0 || !haveEqualVersions(hosts)) {
         process.exitCode = ExitCode.failure;
       }
     });
 }
 
-/** What is in force on a host; its address where it doesn't say. */
-async function askHost(address: string): Promise<HostVersions | string> {
+/** Fetches a host's versions; returns its address when that fails. */
+async function fetchHostVersions(
+  address: string,
+): Promise<HostVersions | string> {
   try {
-    const signal = AbortSignal.timeout(ANSWER_MS);
-    const answer = await fetch(`http://${address}/metrics`, { signal });
-    return versionsIn(address, await answer.text()) ?? address;
+    const signal = AbortSignal.timeout(RESPONSE_TIMEOUT_MS);
+    const response = await fetch(`http://${address}/metrics`, { signal });
+    return parseHostVersions(address, await response.text()) ?? address;
   } catch (error) {
     console.error(`${address}: ${String(error)}`);
     return address;
   }
 }
 
-function agree(hosts: readonly HostVersions[]): boolean {
-  const versions = hosts.map((one) => `${one.settings} ${one.routes}`);
+function haveEqualVersions(hosts: readonly HostVersions[]): boolean {
+  const versions = hosts.map((host) => `${host.settings} ${host.routes}`);
   return new Set(versions).size <= 1;
 }
--- a/src/programs/load/main.ts
+++ b/src/programs/load/main.ts
@@ -1,8 +1,8 @@
 #!/usr/bin/env node
-/** otterhill-load: open-loop load from a workload file. */
+/** otterhill-load: sends open-loop load from a workload file. */
 import { makeCommand, runProgram, settingsOrExit } from "../common/command.ts";
 import { runLoad } from "./run.ts";
-import { summarise, summaryText } from "./summary.ts";
+import { formatSummary, summarise } from "./summary.ts";
 import { WorkloadSchema } from "./workload.ts";
 
 const EXAMPLES = `
@@ -14,9 +14,9 @@
 
 const command = makeCommand(
   "otterhill-load",
-  "Sends a workload to entry hosts and measures the answers.",
+  "Sends a workload to entry hosts and measures the responses.",
 )
-  .requiredOption("-w, --workload <file>", "workload (TOML)")
+  .requiredOption("-w, --workload <file>", "workload file (TOML)")
   .option("--json", "print the summary as JSON")
   .argument("<addresses...>", "IP:port of entry hosts")
   .addHelpText("after", EXAMPLES)
@@ -26,6 +26,6 @@
   const flags = command.opts<Flags>();
   const workload = settingsOrExit(flags.workload, WorkloadSchema);
   const summary = summarise(await runLoad(workload, command.args));
-  const text = flags.json ? JSON.stringify(summary) : summaryText(summary);
+  const text = flags.json ? JSON.stringify(summary) : formatSummary(summary);
   console.log(text);
 });
