--- a/test/platform/config_row_test.ts
+++ b/test/platform/config_row_test.ts
@@ -1,4 +1,4 @@
-/** Configurations in their row: whole, or not taken. */
+/** Parsing of the configuration row: one invalid field rejects the whole row. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import fc from "fast-check";
@@ -12,7 +12,7 @@
   return readConfigRow({ PrivateKey: "config", Value, ver: 1 });
 }
 
-test("a configuration is read whole", () => {
+test("a valid configuration is parsed with its defaults", () => {
   const plain = read(config(3, "/a/"));
   assert.ok(plain.type === "config");
   assert.equal(plain.config.version, 3);
@@ -31,45 +31,45 @@
   });
 });
 
-test("a field of another type leaves the configuration in force, and is named", () => {
-  const whole = engineConfig(1) as {
+test("an invalid field rejects the configuration and is named in the fault", () => {
+  const valid = engineConfig(1) as {
     Routes: Record<string, unknown>[];
     Services: Record<string, unknown>[];
   };
-  const [route] = whole.Routes;
-  const [service] = whole.Services;
-  const wrong: readonly [object, string][] = [
-    [{ ...whole, Version: "1" }, "Version: invalid_type"],
-    [{ ...whole, Routes: {} }, "Routes: invalid_type"],
+  const [route] = valid.Routes;
+  const [service] = valid.Services;
+  const invalid: readonly [object, string][] = [
+    [{ ...valid, Version: "1" }, "Version: invalid_type"],
+    [{ ...valid, Routes: {} }, "Routes: invalid_type"],
     [
-      { ...whole, Routes: [{ ...route, TimeoutMs: "30" }] },
+      { ...valid, Routes: [{ ...route, TimeoutMs: "30" }] },
       "Routes.0.TimeoutMs: invalid_type",
     ],
     [
-      { ...whole, Routes: [{ ...route, MaxAttempts: 0 }] },
+      { ...valid, Routes: [{ ...route, MaxAttempts: 0 }] },
       "Routes.0.MaxAttempts: too_small",
     ],
     [
-      { ...whole, Routes: [{ ...route, Service: undefined }] },
+      { ...valid, Routes: [{ ...route, Service: undefined }] },
       "Routes.0: custom",
     ],
     [
-      { ...whole, Services: [{ ...service, ConnectionLimit: null }] },
+      { ...valid, Services: [{ ...service, ConnectionLimit: null }] },
       "Services.0.ConnectionLimit: invalid_type",
     ],
     [
-      { ...whole, Tenants: [{ Name: "a", ApiKeys: "k" }] },
+      { ...valid, Tenants: [{ Name: "a", ApiKeys: "k" }] },
       "Tenants.0.ApiKeys: invalid_type",
     ],
   ];
-  for (const [value, reason] of wrong) {
+  for (const [value, reason] of invalid) {
     assert.deepEqual(read(value), { type: "fault", reason });
   }
   assert.deepEqual(read("{"), { type: "fault", reason: "no JSON object" });
 });
 
-test("whatever a row holds, reading it throws nothing", () => {
-  const broken = fc.oneof(
+test("parsing a row never throws", () => {
+  const content = fc.oneof(
     fc.string(),
     fc.json(),
     fc.record({
@@ -80,9 +80,9 @@
         Priority: fc.anything(),
       })),
       Services: fc.anything(),
-    }).map((one) => JSON.stringify(one) ?? "null"),
+    }).map((row) => JSON.stringify(row) ?? "null"),
   );
-  fc.assert(fc.property(broken, (text) => {
+  fc.assert(fc.property(content, (text) => {
     assert.ok(["config", "fault"].includes(read(text).type));
   }));
 });
--- a/test/platform/configs.ts
+++ b/test/platform/configs.ts
@@ -1,9 +1,9 @@
-/** Configurations as the operator writes them, for tests. */
+/** Operator configurations for tests. */
 
-/** A time limit that no test reaches. */
-const AMPLE_MS = 30_000;
+/** Long enough that no request of a test times out. */
+const ROUTE_TIMEOUT_MS = 30_000;
 
-/** One unsafe route of a plain service. */
+/** A configuration with one unsafe route to a plain service. */
 export function config(version: number, prefix: string): object {
   return {
     Version: version,
@@ -12,7 +12,7 @@
       Host: "example",
       PathPrefix: prefix,
       Kind: "unsafe",
-      TimeoutMs: AMPLE_MS,
+      TimeoutMs: ROUTE_TIMEOUT_MS,
       TargetLatencyMs: 1000,
       Priority: 1,
       Service: "plain",
@@ -28,7 +28,7 @@
   };
 }
 
-/** One streaming route of a model engine. */
+/** A configuration with one streaming route to a model engine. */
 export function engineConfig(version: number): object {
   const plain = config(version, "/m/") as {
     Routes: object[];
--- a/test/platform/dialect_test.ts
+++ b/test/platform/dialect_test.ts
@@ -1,4 +1,4 @@
-/** What the adapter lets through to replicas, and what it reads. */
+/** The headers that the adapter sends, and its parsing of what it receives. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import fc from "fast-check";
@@ -9,34 +9,42 @@
 import { CallMode, QuotaUnit } from "../../src/gateway/mod.ts";
 import { sha256 } from "../../src/util/sha256.ts";
 
-/** Names of headers as a replica would get them, in lower case. */
+/** The header names sent to a replica, in lower case. */
 function namesSent(raw: readonly string[]): string[] {
   const sent = dialect.callHeaders(raw, {
     mode: CallMode.whole,
     replica: "i-1",
   });
-  return sent.filter((_, at) => at % 2 === 0).map((one) => one.toLowerCase());
+  return sent.filter((_, at) => at % 2 === 0).map((name) => name.toLowerCase());
 }
 
-test("headers that the system sets never come from a caller", () => {
+test("headers that only the gateway sets are removed from a caller's request", () => {
   for (const name of SYSTEM_HEADERS) {
-    const own = name === "expected-instance" ? 1 : 0;
+    const expected = name === "expected-instance" ? 1 : 0;
     for (const written of [name, name.toUpperCase()]) {
       const raw = ["Model", "m", written, "forged", written, "again"];
       const sent = namesSent(raw);
-      assert.equal(sent.filter((one) => one === name).length, own, name);
+      assert.equal(
+        sent.filter((header) => header === name).length,
+        expected,
+        name,
+      );
       assert.ok(sent.includes("model"));
     }
   }
 });
 
-test("a request's rank at an engine is the route's, not the caller's", () => {
-  const rankOf = (priority: number) => {
+test("a request's priority at an engine is its route's, not the caller's", () => {
+  const sentPriority = (priority: number) => {
     const head = { mode: CallMode.whole, replica: "i-1", priority };
     const sent = dialect.callHeaders(["request-priority", "0"], head);
     return sent[sent.indexOf("Request-Priority") + 1];
   };
-  assert.deepEqual([rankOf(0), rankOf(3), rankOf(40)], ["0", "3", "9"]);
+  assert.deepEqual([sentPriority(0), sentPriority(3), sentPriority(40)], [
+    "0",
+    "3",
+    "9",
+  ]);
   const plain = dialect.callHeaders(["request-priority", "0"], {
     mode: CallMode.whole,
     replica: "i-1",
@@ -44,19 +52,19 @@
   assert.equal(plain.length, 2);
 });
 
-test("what a request's head lacks or garbles is read as absent", () => {
+test("missing and invalid request headers are parsed as absent", () => {
   assert.deepEqual(dialect.readRequest({}), {
     promptTokens: 0,
     outputLimit: 0,
   });
-  const garbled = { "deadline-remaining-ms": "soon", "token-counts": "x,y" };
-  assert.deepEqual(dialect.readRequest(garbled), {
+  const invalid = { "deadline-remaining-ms": "soon", "token-counts": "x,y" };
+  assert.deepEqual(dialect.readRequest(invalid), {
     promptTokens: 0,
     outputLimit: 0,
   });
 });
 
-test("a replica's limit is a decimal number, or it is unreadable", () => {
+test("a replica's limit that is no decimal number is unreadable", () => {
   const limitOf = (text?: string) =>
     dialect.readAnswer(200, text === undefined ? {} : { "server-limit": text })
       .limit;
@@ -65,32 +73,42 @@
     assert.deepEqual(limitOf(String(perSecond)), { type: "limit", perSecond });
   }
   const huge = "9".repeat(400);
-  const no = ["1,4", "1.4, 2", "abc", "", "-1", "NaN", "1e999", "1.", huge];
-  for (const text of no) {
+  const invalid = [
+    "1,4",
+    "1.4, 2",
+    "abc",
+    "",
+    "-1",
+    "NaN",
+    "1e999",
+    "1.",
+    huge,
+  ];
+  for (const text of invalid) {
     assert.deepEqual(limitOf(text), { type: "unreadable", text });
   }
 });
 
-test("an answer says by a 1 that its replica leaves", () => {
-  const leavingOf = (status: number, text?: string) =>
+test("a response marks its replica as draining only by the value 1", () => {
+  const isDraining = (status: number, text?: string) =>
     dialect.readAnswer(
       status,
       text === undefined ? {} : {
         "server-leaving": text,
       },
     ).leaving;
-  assert.equal(leavingOf(200), false);
+  assert.equal(isDraining(200), false);
   for (const status of [200, 404, 500, 503]) {
-    assert.equal(leavingOf(status, "1"), true);
+    assert.equal(isDraining(status, "1"), true);
   }
-  // Node joins two headers of one name.
-  assert.equal(leavingOf(200, "1, 1"), true);
+  // Node joins repeated headers.
+  assert.equal(isDraining(200, "1, 1"), true);
   for (const text of ["", "0", "2", "no", "11"]) {
-    assert.equal(leavingOf(200, text), false, text);
+    assert.equal(isDraining(200, text), false, text);
   }
 });
 
-test("a replica that turns a request away may ask for a time without any", () => {
+test("Retry-After of a 503 response is a backoff", () => {
   const backoffOf = (status: number, text?: string) =>
     dialect.readAnswer(
       status,
@@ -111,35 +129,35 @@
   for (const text of ["-3", "abc", "", "NaN", "1e999", "1,2", date, huge]) {
     assert.deepEqual(backoffOf(503, text), { type: "unreadable", text });
   }
-  // There it is the caller that is told.
+  // With any other status, Retry-After is meant for the caller.
   for (const status of [200, 404, 429, 500]) {
     assert.deepEqual(backoffOf(status, "3"), { type: "none" });
   }
 });
 
-test("an answer that lacks a field, or has another type there, says nothing", () => {
-  const whole = { Stage: "decode", Utilization: false, Sequence: 2 };
+test("a response with a missing or invalid field is ignored", () => {
+  const valid = { Stage: "decode", Utilization: false, Sequence: 2 };
   const report = { stage: "decode", orders: 2, changing: false };
-  assert.deepEqual(dialect.readReport(JSON.stringify(whole)), report);
-  const wrong = [
-    { ...whole, Stage: "both" },
-    { ...whole, Sequence: "2" },
-    { ...whole, Sequence: -1 },
-    { ...whole, Utilization: 0 },
+  assert.deepEqual(dialect.readReport(JSON.stringify(valid)), report);
+  const invalid = [
+    { ...valid, Stage: "both" },
+    { ...valid, Sequence: "2" },
+    { ...valid, Sequence: -1 },
+    { ...valid, Utilization: 0 },
     { Stage: "decode" },
-    [whole],
+    [valid],
   ];
-  for (const one of wrong) {
-    assert.equal(dialect.readReport(JSON.stringify(one)), undefined);
+  for (const report of invalid) {
+    assert.equal(dialect.readReport(JSON.stringify(report)), undefined);
   }
-  for (const one of [{}, { PrefillHandle: 7, Retention: "" }, "x", null]) {
-    const body = JSON.stringify(one);
+  for (const value of [{}, { PrefillHandle: 7, Retention: "" }, "x", null]) {
+    const body = JSON.stringify(value);
     assert.equal(dialect.readExport(body), undefined);
     assert.equal(dialect.readReservation(body), undefined);
   }
 });
 
-test("no answer of a replica's calls makes the adapter throw", () => {
+test("parsing a response body never throws", () => {
   fc.assert(
     fc.property(fc.oneof(fc.string(), fc.json()), (body) => {
       dialect.readExport(body);
@@ -149,7 +167,7 @@
   );
 });
 
-test("a key is read by its scheme, and only its digest is kept", () => {
+test("a bearer key is parsed to its digest; other schemes are ignored", () => {
   const digest = dialect.readRequest({ authorization: "Bearer k1" }).keyDigest;
   assert.equal(digest, sha256("k1"));
   for (const text of ["bearer k1", "BEARER  k1 "]) {
@@ -164,24 +182,26 @@
   }
 });
 
-test("a caller's word of its customer gives way to the gateway's", () => {
+test("a customer header from the caller is replaced by the gateway's", () => {
   const raw = ["TENANT", "theirs", "Tenant", "again", "Other", "kept"];
   const head = { mode: CallMode.whole, replica: "i-1" };
   const sent = dialect.callHeaders(raw, { ...head, customer: "alpha" });
-  const told = sent.filter((_, at) => /^tenant$/i.test(sent[at - 1] ?? ""));
-  assert.deepEqual(told, ["alpha"]);
+  const customers = sent.filter((_, at) =>
+    /^tenant$/i.test(sent[at - 1] ?? "")
+  );
+  assert.deepEqual(customers, ["alpha"]);
   assert.ok(sent.includes("kept"));
   assert.ok(!dialect.callHeaders(raw, head).includes("theirs"));
 });
 
-test("numbers of tokens that make no sense count as none", () => {
+test("invalid token counts are parsed as 0", () => {
   for (const text of ["-5,-3", "x,y", "NaN", "Infinity,1e999"]) {
     const facts = dialect.readRequest({ "token-counts": text });
     assert.deepEqual([facts.promptTokens, facts.outputLimit], [0, 0]);
   }
 });
 
-test("customers come with digests in place of keys, and their quotas", () => {
+test("customers are parsed with their quotas, and with digests in place of keys", () => {
   const customers = [
     {
       Name: "alpha",
--- a/test/platform/gateway_process_test.ts
+++ b/test/platform/gateway_process_test.ts
@@ -1,4 +1,4 @@
-/** The gateway as a process, through the adapter, before a stand-in. */
+/** Runs the gateway as a process against a stand-in of the platform. */
 import assert from "node:assert/strict";
 import { type ChildProcess, spawn } from "node:child_process";
 import { once } from "node:events";
@@ -11,11 +11,11 @@
 import { config, engineConfig } from "./configs.ts";
 import { type PlatformStandin, startPlatformStandin } from "./standin.ts";
 
-/** Longest time that anything here may take; no test is about its length. */
-const AMPLE_MS = 30_000;
-const LOOK_MS = 20;
+/** Upper bound on each wait. */
+const TEST_TIMEOUT_MS = 30_000;
+const POLL_INTERVAL_MS = 20;
 
-type Running = {
+type RunningGateway = {
   readonly standin: PlatformStandin;
   readonly process: ChildProcess;
   readonly callers: string;
@@ -27,7 +27,7 @@
   stop(): Promise<void>;
 };
 
-type Seen = { readonly status: number; readonly body: string };
+type CallResult = { readonly status: number; readonly body: string };
 
 async function freePort(): Promise<number> {
   const server = createServer();
@@ -39,7 +39,7 @@
   return port;
 }
 
-async function start(): Promise<Running> {
+async function start(): Promise<RunningGateway> {
   const standin = await startPlatformStandin();
   standin.put("op", "config", config(1, "/a/"));
   standin.put("servers", "i-1", {
@@ -94,7 +94,7 @@
   standin: PlatformStandin,
   listen: Readonly<Record<string, string | undefined>>,
 ): string {
-  const places = Object.entries(listen).map(([name, address]) =>
+  const addresses = Object.entries(listen).map(([name, address]) =>
     `${name} = "${address}"`
   );
   return [
@@ -102,7 +102,7 @@
     'id = "host-1"',
     'hall = "hall"',
     "[listen]",
-    ...places,
+    ...addresses,
     "[store]",
     `address = "${standin.storeAddress}"`,
     "",
@@ -113,11 +113,11 @@
   address: string,
   path: string,
   options: { readonly agent?: Agent; readonly body?: string } = {},
-): Promise<Seen> {
+): Promise<CallResult> {
   const [host, port] = address.split(":");
   const { agent = new Agent(), body } = options;
   return new Promise((resolve, reject) => {
-    const sending = request({
+    const outgoing = request({
       host,
       port,
       path,
@@ -125,8 +125,8 @@
       method: body === undefined ? "GET" : "POST",
       headers: { host: "example", "attempt-id": "a1" },
     });
-    sending.on("error", reject);
-    sending.on("response", (answer) => {
+    outgoing.on("error", reject);
+    outgoing.on("response", (answer) => {
       let text = "";
       answer.on("data", (bytes: Buffer) => text += bytes.toString());
       answer.on(
@@ -135,40 +135,43 @@
       );
       answer.on("error", reject);
     });
-    sending.end(body);
+    outgoing.end(body);
   });
 }
 
-/** Asks again and again until the answer is as wanted. */
-async function until(
-  ask: () => Promise<boolean> | boolean,
+/** Polls until `condition` holds; a rejection counts as false. */
+async function waitUntil(
+  condition: () => Promise<boolean> | boolean,
 ): Promise<void> {
-  const endsAt = performance.now() + AMPLE_MS;
+  const endsAt = performance.now() + TEST_TIMEOUT_MS;
   for (;;) {
-    const good = await Promise.resolve(ask()).catch(() => false);
-    if (good) return;
-    assert.ok(performance.now() < endsAt, "it never came about");
-    await new Promise((resolve) => setTimeout(resolve, LOOK_MS));
+    const holds = await Promise.resolve(condition()).catch(() => false);
+    if (holds) return;
+    assert.ok(
+      performance.now() < endsAt,
+      "condition did not hold before the timeout",
+    );
+    await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
   }
 }
 
-async function isReady(running: Running): Promise<boolean> {
+async function isReady(running: RunningGateway): Promise<boolean> {
   return (await call(running.readiness, "/readiness")).status === 200;
 }
 
 async function withGateway(
-  work: (running: Running) => Promise<void>,
+  work: (running: RunningGateway) => Promise<void>,
 ): Promise<void> {
   const running = await start();
   try {
-    await until(() => isReady(running));
+    await waitUntil(() => isReady(running));
     await work(running);
   } finally {
     await running.stop();
   }
 }
 
-test("a request goes through the adapter; changes of routes come in force", async () => {
+test("requests are routed through the adapter and route changes take effect", async () => {
   await withGateway(async (running) => {
     const { standin, callers } = running;
     assert.deepEqual(await call(callers, "/a/x"), {
@@ -179,24 +182,24 @@
     const large = await call(callers, "/a/x", { body: "x".repeat(2000) });
     assert.equal(large.status, 413);
     standin.put("op", "config", config(2, "/b/"));
-    await until(async () => (await call(callers, "/b/x")).status === 200);
+    await waitUntil(async () => (await call(callers, "/b/x")).status === 200);
     assert.equal((await call(callers, "/a/x")).status, 404);
-    // An older version that comes later changes nothing; a lost history
-    // and an outage are followed by what was written meanwhile.
+    // An older version is ignored. After an outage and a loss of history, the
+    // gateway adopts what was written meanwhile.
     standin.put("op", "config", config(1, "/a/"));
     standin.down = true;
     standin.put("op", "config", config(3, "/c/"));
     standin.loseHistory();
     assert.equal((await call(callers, "/b/x")).status, 200);
     standin.down = false;
-    await until(async () => (await call(callers, "/c/x")).status === 200);
+    await waitUntil(async () => (await call(callers, "/c/x")).status === 200);
     assert.ok((await call(running.metrics, "/metrics")).body.includes(
       "otterhill_routes_version 3",
     ));
   });
 });
 
-test("a model request reserves, is read, and runs from what was read", async () => {
+test("a model request is reserved, prefilled and decoded from the prefill's export", async () => {
   await withGateway(async ({ standin, callers }) => {
     standin.put("op", "config", engineConfig(2));
     const replica = {
@@ -209,52 +212,54 @@
     };
     standin.put("servers", "i-2", { ...replica, Stage: "prefill" });
     standin.put("servers", "i-3", { ...replica, Stage: "decode" });
-    await until(async () => (await call(callers, "/m/x")).status === 200);
-    const run = standin.arrivals.findLast((one) => one.path === "/m/x");
+    await waitUntil(async () => (await call(callers, "/m/x")).status === 200);
+    const run = standin.requests.findLast((received) =>
+      received.path === "/m/x"
+    );
     assert.deepEqual(run, {
       path: "/m/x",
       id: "a1",
       stage: "",
-      source: `${standin.replicaAddress}/h1`,
+      export: `${standin.replicaAddress}/h1`,
       reservation: "m1",
     });
-    const stages = standin.arrivals.filter((one) => one.id === "a1")
-      .map((one) => one.stage);
+    const stages = standin.requests.filter((received) => received.id === "a1")
+      .map((received) => received.stage);
     assert.deepEqual(stages.slice(-2), ["prefill", ""]);
-    // A replica that leaves is told by its row alone.
+    // The replica's row alone shows that it is draining.
     standin.put("servers", "i-3", {
       ...replica,
       Stage: "decode",
       State: "draining",
     });
-    await until(async () => (await call(callers, "/m/x")).status === 503);
+    await waitUntil(async () => (await call(callers, "/m/x")).status === 503);
   });
 });
 
-test("SIGHUP reads the settings again and ends nothing", async () => {
+test("SIGHUP reloads the settings and keeps serving if they are invalid", async () => {
   await withGateway(async (running) => {
     writeFileSync(running.settings, "not = [TOML");
     running.process.kill("SIGHUP");
-    await until(() =>
+    await waitUntil(() =>
       running.lines.some((line) => line.includes('"event":"reloadRefused"'))
     );
     assert.equal((await call(running.callers, "/a/x")).status, 200);
   });
 });
 
-test("a stop answers what it has and what comes on kept connections", async () => {
+test("a stopping gateway completes running requests and serves open connections", async () => {
   await withGateway(async (running) => {
     const { standin, callers } = running;
     const agent = new Agent({ keepAlive: true, maxSockets: 1 });
     assert.equal((await call(callers, "/a/0", { agent })).status, 200);
-    standin.hold = true;
+    standin.holdResponses = true;
     const slow = call(callers, "/a/1");
-    await until(() => standin.arrivals.some(({ path }) => path === "/a/1"));
+    await waitUntil(() => standin.requests.some(({ path }) => path === "/a/1"));
     running.process.kill("SIGTERM");
-    await until(async () => !(await isReady(running)));
-    standin.hold = false;
+    await waitUntil(async () => !(await isReady(running)));
+    standin.holdResponses = false;
     assert.equal((await call(callers, "/a/2", { agent })).status, 200);
-    standin.release();
+    standin.releaseResponses();
     assert.equal((await slow).status, 200);
     const [code] = await once(running.process, "exit") as [number | null];
     assert.equal(code, 0);
@@ -262,15 +267,15 @@
   });
 });
 
-test("faulty settings are named and end the program with code 2", async () => {
+test("invalid settings are reported and exit with code 2", async () => {
   const child = spawn(process.execPath, [
     "dist/platform/main.js",
     "--check-settings",
     "package.json",
   ], { stdio: ["ignore", "ignore", "pipe"] });
-  let told = "";
-  child.stderr.on("data", (bytes: Buffer) => told += bytes.toString());
+  let stderr = "";
+  child.stderr.on("data", (bytes: Buffer) => stderr += bytes.toString());
   const [code] = await once(child, "close") as [number | null];
   assert.equal(code, 2);
-  assert.match(told, /package\.json: TOML/);
+  assert.match(stderr, /package\.json: TOML/);
 });
--- a/test/platform/names_test.ts
+++ b/test/platform/names_test.ts
@@ -1,15 +1,15 @@
-/** The platform's names stay in platform/ and deploy/. */
+/** Checks that src/ and bench/ don't depend on the platform's names or adapter. */
 import assert from "node:assert/strict";
 import { readdirSync, readFileSync } from "node:fs";
 import { dirname, join, relative, resolve } from "node:path";
 import { test } from "node:test";
 import { Header, SYSTEM_HEADERS } from "../../platform/names.ts";
 
-/** Names of calls and fields that only the adapter may spell. */
+/** Header, path and field names that only the adapter may use. */
 const NAMES: readonly string[] = [
   ...new Set([
-    ...Object.values(Header).filter((one) => one !== Header.retryAfter)
-      .filter((one) => one !== Header.lastEventId),
+    ...Object.values(Header).filter((name) => name !== Header.retryAfter)
+      .filter((name) => name !== Header.lastEventId),
     ...SYSTEM_HEADERS,
     "rows-tx",
     "rows-get",
@@ -37,13 +37,13 @@
     .map((name) => join(folder, name));
 }
 
-test("no name of the platform stands outside its folder", () => {
+test("src and bench contain no names of the platform", () => {
   for (const file of [...sourceFiles("src"), ...sourceFiles("bench")]) {
     assert.deepEqual(findNames(readFileSync(file, "utf8")), [], file);
   }
 });
 
-test("nothing of the product imports the adapter", () => {
+test("src and bench don't import the adapter", () => {
   for (const file of [...sourceFiles("src"), ...sourceFiles("bench")]) {
     const text = readFileSync(file, "utf8");
     for (const [, target = ""] of text.matchAll(/from "(\.[^"]*)"/g)) {
@@ -53,6 +53,6 @@
   }
 });
 
-test("the check finds a name, however it is written", () => {
+test("names are found regardless of case", () => {
   assert.deepEqual(findNames('headers["KV-Source"]'), ["kv-source"]);
 });
--- a/test/platform/rate_windows.ts
+++ b/test/platform/rate_windows.ts
@@ -1,21 +1,21 @@
-/** How many requests a replica got within a span that slides. */
+/** Counts of a replica's requests in a sliding window. */
 
-/** The span over which a limit is judged, in milliseconds. */
+/** Length of the window over which tests check a rate limit. */
 export const LIMIT_SPAN_MS = 4000;
 
-/** Most requests of a replica with a limit within the span, over all hosts. */
+/** Maximum number of requests that all hosts together may send in the window. */
 export function mostAllowed(perSecond: number): number {
   return 1.5 * perSecond * LIMIT_SPAN_MS / 1000 + 5;
 }
 
-/** The most of `times` that lie within any span of `spanMs`. */
-export function mostWithin(times: readonly number[], spanMs: number): number {
+/** The largest number of `times` that lie within any window of `windowMs`. */
+export function mostWithin(times: readonly number[], windowMs: number): number {
   const sorted = [...times].sort((a, b) => a - b);
-  let first = 0;
-  let most = 0;
+  let start = 0;
+  let max = 0;
   for (const [at, time] of sorted.entries()) {
-    while ((sorted[first] ?? time) < time - spanMs) first += 1;
-    most = Math.max(most, at - first + 1);
+    while ((sorted[start] ?? time) < time - windowMs) start += 1;
+    max = Math.max(max, at - start + 1);
   }
-  return most;
+  return max;
 }
--- a/test/platform/replica_row_test.ts
+++ b/test/platform/replica_row_test.ts
@@ -1,11 +1,11 @@
-/** Rows of replicas: whole, or they name none. */
+/** Parsing of replica rows: invalid rows are faults and don't affect others. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import fc from "fast-check";
 import "../fixed_seed.ts";
 import { replicasOf } from "../../platform/replica_row.ts";
 
-const WHOLE = {
+const VALID_ROW = {
   Service: "s",
   Address: "127.0.0.1:1",
   Zone: "h",
@@ -17,77 +17,80 @@
   Stage: "decode",
 };
 
-function row(key: string, text: string) {
+function encodeRow(key: string, text: string) {
   const Value = Buffer.from(text).toString("base64");
   return { PrivateKey: key, Value, ver: 1 };
 }
 
 function faultOf(value: unknown): string | undefined {
   const text = typeof value === "string" ? value : JSON.stringify(value);
-  const { entries, faults } = replicasOf([row("a", text)]);
+  const { entries, faults } = replicasOf([encodeRow("a", text)]);
   assert.equal(entries.length + faults.length, 1);
   return faults[0]?.reason;
 }
 
-test("two starts of a replica are two incarnations of one id", () => {
+test("each start of a replica is a separate incarnation of its id", () => {
   const rows = [1, 2].map((born) =>
-    row("a", JSON.stringify({ ...WHOLE, born }))
+    encodeRow("a", JSON.stringify({ ...VALID_ROW, born }))
   );
   const { entries } = replicasOf(rows);
-  assert.deepEqual(entries.map((one) => one.id), ["a", "a"]);
+  assert.deepEqual(entries.map((entry) => entry.id), ["a", "a"]);
   assert.notEqual(entries[0]?.incarnation, entries[1]?.incarnation);
-  assert.equal(replicasOf([row("a", JSON.stringify(WHOLE))]).entries.length, 1);
+  assert.equal(
+    replicasOf([encodeRow("a", JSON.stringify(VALID_ROW))]).entries.length,
+    1,
+  );
 });
 
-test("a row that lacks a field or has a wrong one names no replica", () => {
-  assert.equal(faultOf(WHOLE), undefined);
-  const lacking = { ...WHOLE, Slots: undefined };
-  const wrong: unknown[] = [
-    { ...WHOLE, Service: "" },
-    { ...WHOLE, Address: 17 },
-    { ...WHOLE, Address: "somewhere" },
-    { ...WHOLE, Slots: "12" },
-    { ...WHOLE, Slots: 0 },
-    { ...WHOLE, State: "resting" },
-    { ...WHOLE, Stage: 5 },
-    { ...WHOLE, ColdRemainingMs: null },
-    { ...WHOLE, born: 1.5 },
-    { ...WHOLE, born: "yesterday" },
-    lacking,
+test("a row with a missing or invalid field is a fault", () => {
+  assert.equal(faultOf(VALID_ROW), undefined);
+  const missing = { ...VALID_ROW, Slots: undefined };
+  const invalid: unknown[] = [
+    { ...VALID_ROW, Service: "" },
+    { ...VALID_ROW, Address: 17 },
+    { ...VALID_ROW, Address: "somewhere" },
+    { ...VALID_ROW, Slots: "12" },
+    { ...VALID_ROW, Slots: 0 },
+    { ...VALID_ROW, State: "resting" },
+    { ...VALID_ROW, Stage: 5 },
+    { ...VALID_ROW, ColdRemainingMs: null },
+    { ...VALID_ROW, born: 1.5 },
+    { ...VALID_ROW, born: "yesterday" },
+    missing,
     { x: 1 },
     [1, 2],
     null,
     "{",
     "",
   ];
-  for (const one of wrong) {
-    assert.notEqual(faultOf(one), undefined, JSON.stringify(one));
+  for (const value of invalid) {
+    assert.notEqual(faultOf(value), undefined, JSON.stringify(value));
   }
 });
 
-test("what is wrong is told by its field, never by its value", () => {
-  const reason = faultOf({ ...WHOLE, Slots: "a caller's secret" }) ?? "";
+test("a fault names the field but not its value", () => {
+  const reason = faultOf({ ...VALID_ROW, Slots: "a caller's secret" }) ?? "";
   assert.match(reason, /^Slots/);
   assert.doesNotMatch(reason, /secret/);
 });
 
-test("no row, however broken, takes another along", () => {
-  const field = fc.constantFrom(...Object.keys(WHOLE), "born", "other");
+test("an invalid row doesn't affect valid ones", () => {
+  const field = fc.constantFrom(...Object.keys(VALID_ROW), "born", "other");
   const value = fc.oneof(fc.anything(), fc.string(), fc.integer());
-  const changed = fc.tuple(field, value).map(([name, one]) => {
-    const text = JSON.stringify({ ...WHOLE, [name]: one });
+  const changed = fc.tuple(field, value).map(([name, fieldValue]) => {
+    const text = JSON.stringify({ ...VALID_ROW, [name]: fieldValue });
     return text;
   });
   const broken = fc.oneof(changed, fc.json(), fc.string());
   fc.assert(fc.property(fc.array(broken, { maxLength: 20 }), (texts) => {
-    const rows = texts.map((text, at) => row(`b${at}`, text));
-    const whole = row("whole", JSON.stringify(WHOLE));
-    const { entries, faults } = replicasOf([...rows, whole]);
+    const rows = texts.map((text, at) => encodeRow(`b${at}`, text));
+    const valid = encodeRow("valid", JSON.stringify(VALID_ROW));
+    const { entries, faults } = replicasOf([...rows, valid]);
     assert.equal(entries.length + faults.length, rows.length + 1);
-    assert.ok(entries.some((one) => one.id === "whole"));
-    for (const one of entries) {
-      assert.match(one.address, /^\S+:\d+$/);
-      assert.ok(one.slots > 0);
+    assert.ok(entries.some((entry) => entry.id === "valid"));
+    for (const entry of entries) {
+      assert.match(entry.address, /^\S+:\d+$/);
+      assert.ok(entry.slots > 0);
     }
   }));
 });
--- a/test/platform/replica_standin.ts
+++ b/test/platform/replica_standin.ts
@@ -1,6 +1,6 @@
 /**
- * A stand-in of one replica that remembers all it was asked: a plain service,
- * or a model engine with memory to reserve and prefills to fetch.
+ * A stand-in of a replica that records its requests: a plain service, or a model
+ * engine with reservations and exports of prefills.
  */
 import {
   createServer,
@@ -10,47 +10,47 @@
 import type { Socket } from "node:net";
 import { listen, send, textOf } from "./store_standin.ts";
 
-/** What a replica does. */
+/** The role of a replica. */
 export type ReplicaRole = "plain" | "prefill" | "decode";
 
-/** A request that a replica was sent. */
+/** A request that a replica received. */
 export type ReplicaArrival = {
   readonly request: string;
   readonly replica: string;
-  /** Tells the starts of all replicas apart. */
+  /** Distinguishes the starts of all replicas. */
   readonly start: number;
   readonly atMs: number;
-  /** It began to run; a prefill does not count as a run. */
+  /** Whether it started to run; a prefill doesn't count as a run. */
   readonly ran: boolean;
-  /** The first event or byte that it was to make. */
+  /** The first event to send. */
   readonly fromEvent: number;
-  /** Its answer said that the replica leaves. */
+  /** Whether its response marked the replica as draining. */
   readonly saidLeaving: boolean;
-  /** It was turned away and asked to send nothing for so many seconds. */
+  /** The `Retry-After` header with which it was rejected, if it was. */
   readonly backoff?: string;
 };
 
-/** Something that a replica must never see. */
+/** A violation that a replica detected. */
 export type ReplicaFault = { readonly what: string; readonly request: string };
 
-/** What all replicas of a test share. */
+/** State shared by all replicas of a test. */
 export type ReplicaWorld = {
   readonly arrivals: ReplicaArrival[];
   readonly faults: ReplicaFault[];
-  /** Finished prefills by "address/handle". */
-  readonly exports: Map<string, { request: string; endsAtMs: number }>;
-  /** A request with {@link CRASHING_BODY} has begun to run at the replica. */
+  /** Exports of finished prefills by "address/handle". */
+  readonly exports: Map<string, { request: string; expiresAt: number }>;
+  /** Called when a request with {@link CRASHING_BODY} crashes a replica. */
   onCrash?(replica: string): void;
 };
 
-/** A request with this body crashes the replica that begins to run it. */
+/** A request with this body crashes the replica that runs it. */
 export const CRASHING_BODY = "crashes its replica";
 
-/** How a replica turns requests away. */
+/** How a replica rejects requests. */
 export type Backoff = {
-  /** The seconds without any request that it asks for; it may be no number. */
+  /** The `Retry-After` header, which may be no number. */
   readonly text: string;
-  /** It takes every other one. */
+  /** Whether it accepts every other request. */
   readonly isPartial?: boolean;
 };
 
@@ -59,41 +59,42 @@
   readonly id: string;
   readonly role: ReplicaRole;
   readonly address: string;
-  /** Requests that run now. */
+  /** The number of running requests. */
   running(): number;
-  /** What its answers say of the rate that it takes; undefined: nothing. */
+  /** The rate limit header of its responses; undefined for none. */
   limit: string | undefined;
-  /** All its answers say that it leaves. */
+  /** Whether all its responses mark it as draining. */
   leaving: boolean;
-  /** It turns requests away; undefined: it doesn't. */
+  /** How it rejects requests; undefined if it accepts them. */
   backoff: Backoff | undefined;
-  /** Ends it as a crash does: all connections are reset. */
+  /** Simulates a crash: resets all connections. */
   crash(): void;
 };
 
-/** What a replica is made from. */
-export type ReplicaSource = {
+/** Options of {@link startReplica}. */
+export type ReplicaOptions = {
   readonly id: string;
   readonly role: ReplicaRole;
   readonly world: ReplicaWorld;
-  /** Where others reach it; prefills are known by it. */
+  /** The address for other hosts; part of the keys of its exports. */
   publicAddress(): string;
 };
 
-/** Events of a whole stream, and the time between two. */
+/** Number of events of a complete stream. */
 export const STREAM_EVENTS = 20;
-const EVENT_MS = 40;
-const PLAIN_MS = 30;
-const PREFILL_MS = 25;
-/** From the start of a crashing run to its replica's end. */
-const CRASH_MS = 20;
-const EXPORT_MS = 1500;
+/** Time between two events of a stream. */
+const EVENT_INTERVAL_MS = 40;
+const PLAIN_DURATION_MS = 30;
+const PREFILL_DURATION_MS = 25;
+/** Time from the start of a crashing request to the crash. */
+const CRASH_DELAY_MS = 20;
+const EXPORT_TTL_MS = 1500;
 
 type Engine = {
-  readonly source: ReplicaSource;
-  readonly holds: Map<string, number>;
+  readonly options: ReplicaOptions;
+  readonly reservations: Map<string, number>;
   running: number;
-  count: number;
+  sequence: number;
   limit: string | undefined;
   leaving: boolean;
   backoff: Backoff | undefined;
@@ -104,22 +105,22 @@
 
 /** Starts a replica on a free port. */
 export async function startReplica(
-  source: ReplicaSource,
+  options: ReplicaOptions,
 ): Promise<ReplicaStandin> {
   starts += 1;
   const engine: Engine = {
     start: starts,
-    source,
-    holds: new Map(),
+    options,
+    reservations: new Map(),
     running: 0,
-    count: 0,
+    sequence: 0,
     limit: undefined,
     leaving: false,
     backoff: undefined,
   };
   const server = createServer((request, response) => {
     response.on("error", () => undefined);
-    void answer(engine, request, response).catch(() => response.destroy());
+    void handle(engine, request, response).catch(() => response.destroy());
   });
   const sockets = new Set<Socket>();
   server.on("connection", (socket) => {
@@ -129,8 +130,8 @@
   });
   const address = await listen(server);
   return {
-    id: source.id,
-    role: source.role,
+    id: options.id,
+    role: options.role,
     address,
     running: () => engine.running,
     get limit() {
@@ -158,7 +159,7 @@
   };
 }
 
-async function answer(
+async function handle(
   engine: Engine,
   request: IncomingMessage,
   response: ServerResponse,
@@ -166,39 +167,39 @@
   const body = await textOf(request);
   const path = request.url ?? "";
   if (engine.leaving) response.setHeader("Server-Leaving", "1");
-  if (path === "/hold-take") return takeHold(engine, body, response);
+  if (path === "/hold-take") return reserve(engine, body, response);
   if (path.startsWith("/hold-drop/")) {
-    engine.holds.delete(path.slice("/hold-drop/".length));
+    engine.reservations.delete(path.slice("/hold-drop/".length));
     return send(response, 200, {});
   }
   if (path.startsWith("/kv-handle/")) {
     const handle = path.slice("/kv-handle/".length);
-    const { world, publicAddress } = engine.source;
+    const { world, publicAddress } = engine.options;
     world.exports.delete(`${publicAddress()}/${handle}`);
     return send(response, 200, {});
   }
   if (path === "/report") {
-    const report = { Stage: engine.source.role, Utilization: false };
+    const report = { Stage: engine.options.role, Utilization: false };
     return send(response, 200, { ...report, Sequence: 0 });
   }
   if (path === "/order") return send(response, 409, {});
   return serve(engine, request, { body, response });
 }
 
-function takeHold(
+function reserve(
   engine: Engine,
   body: string,
   response: ServerResponse,
 ): void {
-  const backoff = backoffOf(engine);
+  const backoff = nextBackoff(engine);
   if (backoff !== undefined) {
     response.setHeader("Retry-After", backoff);
     return send(response, 503, {});
   }
-  const { ttl_ms: lifeMs } = JSON.parse(body) as { ttl_ms: number };
-  engine.count += 1;
-  const id = `m${engine.count}`;
-  engine.holds.set(id, performance.now() + lifeMs);
+  const { ttl_ms: ttlMs } = JSON.parse(body) as { ttl_ms: number };
+  engine.sequence += 1;
+  const id = `m${engine.sequence}`;
+  engine.reservations.set(id, performance.now() + ttlMs);
   send(response, 200, { Retention: id });
 }
 
@@ -210,24 +211,24 @@
     readonly response: ServerResponse;
   },
 ): Promise<void> {
-  const { source } = engine;
-  const { role, world } = source;
+  const { options } = engine;
+  const { role, world } = options;
   if (engine.limit !== undefined) {
     response.setHeader("Server-Limit", engine.limit);
   }
   const header = (name: string) => String(request.headers[name] ?? "");
   const id = header("attempt-id");
-  if (header("expected-instance") !== source.id) {
+  if (header("expected-instance") !== options.id) {
     return notRun(response, 421, id);
   }
   const isPrefill = header("serving-stage") === "prefill";
   const fromEvent = Number(header("last-event-id") || -1) + 1;
   const { leaving: saidLeaving, start } = engine;
-  const backoff = backoffOf(engine);
+  const backoff = nextBackoff(engine);
   const note = (ran: boolean) =>
     world.arrivals.push({
       request: id,
-      replica: source.id,
+      replica: options.id,
       start,
       atMs: performance.now(),
       ran,
@@ -246,7 +247,7 @@
   }
   if (isPrefill) return await prefill(engine, id, response, note);
   const from = header("kv-source");
-  if (from !== "" && !takeExport(world, from, id)) {
+  if (from !== "" && !popExport(world, from, id)) {
     note(false);
     return notRun(response, 503, id);
   }
@@ -254,24 +255,24 @@
   engine.running += 1;
   response.on("close", () => engine.running -= 1);
   if (body === CRASHING_BODY) {
-    await pause(CRASH_MS);
-    return world.onCrash?.(source.id);
+    await sleep(CRASH_DELAY_MS);
+    return world.onCrash?.(options.id);
   }
-  const seal = { "Attempt-Id": id, "Server-Seal": `${source.id}.${id}` };
+  const seal = { "Attempt-Id": id, "Server-Seal": `${options.id}.${id}` };
   if (role === "plain") {
-    await pause(PLAIN_MS);
+    await sleep(PLAIN_DURATION_MS);
     response.writeHead(200, seal);
     return void response.end(`body of ${id}`);
   }
   await stream(response, { id, fromEvent, seal });
 }
 
-/** What is asked of the request that comes now, if it is turned away. */
-function backoffOf(engine: Engine): string | undefined {
+/** The `Retry-After` header for the next request; undefined if it is accepted. */
+function nextBackoff(engine: Engine): string | undefined {
   if (!engine.backoff) return undefined;
   const { text, isPartial = false } = engine.backoff;
-  engine.count += 1;
-  return isPartial && engine.count % 2 === 0 ? undefined : text;
+  engine.sequence += 1;
+  return isPartial && engine.sequence % 2 === 0 ? undefined : text;
 }
 
 async function prefill(
@@ -281,23 +282,23 @@
   note: (ran: boolean) => void,
 ): Promise<void> {
   note(false);
-  const { world, publicAddress } = engine.source;
-  await pause(PREFILL_MS);
-  engine.count += 1;
-  const handle = `h${engine.count}`;
-  const endsAtMs = performance.now() + EXPORT_MS;
-  world.exports.set(`${publicAddress()}/${handle}`, { request: id, endsAtMs });
+  const { world, publicAddress } = engine.options;
+  await sleep(PREFILL_DURATION_MS);
+  engine.sequence += 1;
+  const handle = `h${engine.sequence}`;
+  const expiresAt = performance.now() + EXPORT_TTL_MS;
+  world.exports.set(`${publicAddress()}/${handle}`, { request: id, expiresAt });
   response.setHeader("Attempt-Id", id);
   send(response, 200, { PrefillHandle: handle, Tokens: 1, Version: 1 });
 }
 
-/** Takes a finished prefill; false when it is gone. */
-function takeExport(world: ReplicaWorld, from: string, id: string): boolean {
-  const made = world.exports.get(from);
+/** Removes the export of a finished prefill; false if it is missing or expired. */
+function popExport(world: ReplicaWorld, from: string, id: string): boolean {
+  const found = world.exports.get(from);
   world.exports.delete(from);
-  if (!made || made.endsAtMs < performance.now()) return false;
-  if (made.request === id) return true;
-  world.faults.push({ what: "It goes on from another's prefill", request: id });
+  if (!found || found.expiresAt < performance.now()) return false;
+  if (found.request === id) return true;
+  world.faults.push({ what: "It used another request's prefill", request: id });
   return false;
 }
 
@@ -312,7 +313,7 @@
   const type = { "Content-Type": "text/event-stream" };
   response.writeHead(200, { ...run.seal, ...type });
   for (let event = run.fromEvent; event < STREAM_EVENTS; event++) {
-    await pause(EVENT_MS);
+    await sleep(EVENT_INTERVAL_MS);
     if (response.destroyed) return;
     const last = event === STREAM_EVENTS - 1 ? " last" : "";
     response.write(`id: ${event}\ndata: ${run.id}${last}\n\n`);
@@ -325,6 +326,6 @@
   response.end();
 }
 
-function pause(forMs: number): Promise<void> {
-  return new Promise((resolve) => setTimeout(resolve, forMs));
+function sleep(durationMs: number): Promise<void> {
+  return new Promise((resolve) => setTimeout(resolve, durationMs));
 }
--- a/test/platform/standin.ts
+++ b/test/platform/standin.ts
@@ -1,55 +1,56 @@
-/** A small stand-in of the platform: its store, and a replica for all uses. */
+/** A stand-in of the platform: its store, and one replica that serves every role. */
 import { createServer, type IncomingMessage } from "node:http";
 import { listen, startStore, StoreMode } from "./store_standin.ts";
 
-/** The stand-in, with faults that a test can turn on. */
+/** A running stand-in, with faults that a test can inject. */
 export type PlatformStandin = {
   readonly storeAddress: string;
   readonly replicaAddress: string;
-  /** What the replica was sent. */
-  readonly arrivals: Arrival[];
-  /** Writes a row as the operator or a replica does. */
+  /** The requests and engine calls that the replica received. */
+  readonly requests: ReceivedRequest[];
+  /** Writes a row, as the operator or a replica would. */
   put(table: string, key: string, value: object): void;
-  /** The store forgets its history: feeds get 410 once. */
+  /** Drops the store's change history: feeds that start before now get 410. */
   loseHistory(): void;
-  /** Every call to the store gets 503. */
+  /** While set, the store responds to every call with 503. */
   down: boolean;
-  /** Answers of the replica wait until they are released. */
-  hold: boolean;
-  release(): void;
+  /** While set, the replica holds its responses back. */
+  holdResponses: boolean;
+  /** Clears `holdResponses` and sends the responses held so far. */
+  releaseResponses(): void;
   stop(): void;
 };
 
-/** One request or engine call that the replica was sent. */
-export type Arrival = {
+/** A request or engine call that the replica received. */
+export type ReceivedRequest = {
   readonly path: string;
   readonly id: string;
   readonly stage: string;
-  readonly source: string;
+  readonly export: string;
   readonly reservation: string;
 };
 
 /** Starts the stand-in on free ports. */
 export async function startPlatformStandin(): Promise<PlatformStandin> {
   const store = await startStore();
-  const arrivals: Arrival[] = [];
+  const requests: ReceivedRequest[] = [];
   const held: (() => void)[] = [];
   const replica = createServer((request, response) => {
     request.resume();
-    const arrival = arrivalOf(request);
-    arrivals.push(arrival);
-    const { id } = arrival;
-    const answer = () => {
+    const received = receivedRequest(request);
+    requests.push(received);
+    const { id } = received;
+    const respond = () => {
       response.writeHead(200, { "Attempt-Id": id, "Server-Seal": "s" });
-      response.end(bodyOf(arrival));
+      response.end(bodyOf(received));
     };
-    if (standin.hold) held.push(answer);
-    else answer();
+    if (standin.holdResponses) held.push(respond);
+    else respond();
   });
   const standin: PlatformStandin = {
     storeAddress: store.address,
     replicaAddress: await listen(replica),
-    arrivals,
+    requests,
     put: store.put,
     loseHistory: store.loseHistory,
     get down() {
@@ -58,10 +59,10 @@
     set down(isDown) {
       store.mode = isDown ? StoreMode.down : StoreMode.up;
     },
-    hold: false,
-    release: () => {
-      standin.hold = false;
-      for (const answer of held.splice(0)) answer();
+    holdResponses: false,
+    releaseResponses: () => {
+      standin.holdResponses = false;
+      for (const respond of held.splice(0)) respond();
     },
     stop: () => {
       store.stop();
@@ -72,19 +73,19 @@
   return standin;
 }
 
-function arrivalOf(request: IncomingMessage): Arrival {
+function receivedRequest(request: IncomingMessage): ReceivedRequest {
   const header = (name: string) => String(request.headers[name] ?? "");
   return {
     path: request.url ?? "",
     id: header("attempt-id"),
     stage: header("serving-stage"),
-    source: header("kv-source"),
+    export: header("kv-source"),
     reservation: header("kv-retention"),
   };
 }
 
-/** What the replica answers: memory, a finished prefill, or the whole body. */
-function bodyOf({ path, stage }: Arrival): string {
+/** The response body: a reservation, a prefill's export, or a fixed text. */
+function bodyOf({ path, stage }: ReceivedRequest): string {
   if (path === "/hold-take") return JSON.stringify({ Retention: "m1" });
   if (stage !== "prefill") return "whole";
   return JSON.stringify({ PrefillHandle: "h1", Tokens: 100, Version: 1 });
--- a/test/platform/store_standin.ts
+++ b/test/platform/store_standin.ts
@@ -1,4 +1,4 @@
-/** A stand-in of the platform's store, with faults that a test turns on. */
+/** A stand-in of the platform's store, with faults that a test can inject. */
 import {
   createServer,
   type IncomingMessage,
@@ -6,8 +6,8 @@
   type ServerResponse,
 } from "node:http";
 
-/** A row as the store keeps it. */
-type KeptRow = {
+/** A row as the store retains it; `gone` marks a deleted one. */
+type StoredRow = {
   readonly table: string;
   readonly PrivateKey: string;
   readonly Value?: string;
@@ -15,14 +15,14 @@
   readonly gone?: boolean;
 };
 
-/** How the store treats calls. */
+/** How the store responds to calls. */
 export const StoreMode = {
   up: "up",
-  /** Every call gets 503. */
+  /** Every call is answered with 503. */
   down: "down",
-  /** No call is answered. */
+  /** No call gets a response. */
   silent: "silent",
-  /** Writes are done and not answered. */
+  /** Writes are applied but get no response. */
   lost: "lost",
 } as const;
 /** One of the values of {@link StoreMode}. */
@@ -32,35 +32,36 @@
 export type StoreStandin = {
   readonly address: string;
   mode: StoreMode;
-  /** Added to the time of each answer, in milliseconds. */
+  /** Delay before each call is handled. */
   delayMs: number;
-  /** Writes a row as the operator or a replica does. */
+  /** Writes a row, as the operator or a replica would. */
   put(table: string, key: string, value: object): void;
-  /** A row goes. */
+  /** Deletes a row. */
   remove(table: string, key: string): void;
-  /** The store forgets its history: feeds get 410 once. */
+  /** Drops the change history: feeds that start before now get 410. */
   loseHistory(): void;
-  /** Writes of others, of rows that concern nobody here: the counter rises. */
+  /** Raises the revision by a number of writes to rows that no test reads. */
   pass(writes: number): void;
-  /** What the store keeps now. */
+  /** Copies the current state. */
   copy(): StoreCopy;
-  /** The store comes back from an older copy of itself. */
+  /** Restores an older copy; the era increases. */
   restore(copy: StoreCopy): void;
   stop(): void;
 };
 
-/** All rows, and the counter that rises with each write. */
+/** All rows, and the revision, which increases with each write. */
 export type StoreCopy = {
-  readonly rows: ReadonlyMap<string, KeptRow>;
+  readonly rows: ReadonlyMap<string, StoredRow>;
   readonly ver: number;
 };
 
 type State = {
-  rows: Map<string, KeptRow>;
+  rows: Map<string, StoredRow>;
   readonly watchers: Set<() => void>;
   ver: number;
-  lostBefore: number;
-  /** Rises each time the store comes back from an older copy. */
+  /** Feeds that start before this revision get 410. */
+  historyStart: number;
+  /** Increases each time the store is restored from an older copy. */
   era: number;
 };
 
@@ -70,19 +71,19 @@
     rows: new Map(),
     watchers: new Set(),
     ver: 0,
-    lostBefore: 0,
+    historyStart: 0,
     era: 1,
   };
   const server = createServer((request, response) => {
     response.setHeader("Store-Era", state.era);
     if (store.mode === StoreMode.silent) return;
     if (store.mode === StoreMode.down) return send(response, 503, {});
-    const answer = () => {
-      answerStore(state, store, request, response)
+    const respond = () => {
+      handleCall(state, store, request, response)
         .catch(() => response.destroy());
     };
-    if (store.delayMs > 0) setTimeout(answer, store.delayMs);
-    else answer();
+    if (store.delayMs > 0) setTimeout(respond, store.delayMs);
+    else respond();
   });
   const store: StoreStandin = {
     address: await listen(server),
@@ -95,17 +96,17 @@
     remove: (table, key) =>
       write(state, { table, PrivateKey: key, gone: true }),
     loseHistory: () => {
-      state.lostBefore = state.ver + 1;
-      wake(state);
+      state.historyStart = state.ver + 1;
+      notifyWatchers(state);
     },
     pass: (writes) => void (state.ver += writes),
     copy: () => ({ rows: new Map(state.rows), ver: state.ver }),
     restore: ({ rows, ver }) => {
       state.rows = new Map(rows);
       state.ver = ver;
-      state.lostBefore = 0;
+      state.historyStart = 0;
       state.era += 1;
-      wake(state);
+      notifyWatchers(state);
     },
     stop: () => {
       server.closeAllConnections();
@@ -115,7 +116,7 @@
   return store;
 }
 
-/** Listens on a free port of loopback; gives the address. */
+/** Listens on a free loopback port; returns the address. */
 export function listen(server: Server): Promise<string> {
   return new Promise((resolve) => {
     server.listen(0, "127.0.0.1", () => {
@@ -126,18 +127,18 @@
   });
 }
 
-function write(state: State, row: Omit<KeptRow, "ver">): void {
+function write(state: State, row: Omit<StoredRow, "ver">): void {
   state.ver += 1;
   const key = `${row.table}/${row.PrivateKey}`;
   state.rows.set(key, { ...row, ver: state.ver });
-  wake(state);
+  notifyWatchers(state);
 }
 
-function wake(state: State): void {
+function notifyWatchers(state: State): void {
   for (const watcher of [...state.watchers]) watcher();
 }
 
-async function answerStore(
+async function handleCall(
   state: State,
   store: StoreStandin,
   request: IncomingMessage,
@@ -147,18 +148,22 @@
   const table = url.searchParams.get("table") ?? "";
   switch (url.pathname) {
     case "/rows-get":
-      return send(response, 200, page(state, table, undefined));
+      return send(response, 200, pageOf(state, table, undefined));
     case "/rows-feed":
-      return answerFeed(state, url, response);
+      return handleFeed(state, url, response);
     case "/rows-tx":
-      return answerWrite(state, store, await textOf(request), response);
+      return handleWrite(state, store, await textOf(request), response);
     default:
       return send(response, 404, {});
   }
 }
 
-/** Rows changed after a version; without one, those that are there. */
-function page(state: State, table: string, after: number | undefined): object {
+/** The rows changed after a revision; without one, all rows that aren't deleted. */
+function pageOf(
+  state: State,
+  table: string,
+  after: number | undefined,
+): object {
   const Rows = [...state.rows.values()].filter((row) =>
     row.table === table &&
     (after === undefined ? !row.gone : row.ver > after)
@@ -166,47 +171,47 @@
   return { Rows, more: false, ver: state.ver, now_ms: performance.now() };
 }
 
-function answerFeed(state: State, url: URL, response: ServerResponse): void {
+function handleFeed(state: State, url: URL, response: ServerResponse): void {
   const table = url.searchParams.get("table") ?? "";
   const after = Number(url.searchParams.get("after"));
   const waitMs = Number(url.searchParams.get("WaitMs") ?? 0);
-  const look = (isOver: boolean) => {
-    const isUnknown = after < state.lostBefore || after > state.ver;
-    if (isUnknown) return done(410, {});
+  const respondIfDue = (isTimedOut: boolean) => {
+    const isUnavailable = after < state.historyStart || after > state.ver;
+    if (isUnavailable) return respond(410, {});
     const rows = [...state.rows.values()];
     const changed = rows.some((row) => row.table === table && row.ver > after);
-    if (changed || isOver) done(200, page(state, table, after));
+    if (changed || isTimedOut) respond(200, pageOf(state, table, after));
   };
-  const watcher = () => look(false);
-  const timer = setTimeout(() => look(true), waitMs);
-  const forget = () => {
+  const watcher = () => respondIfDue(false);
+  const timer = setTimeout(() => respondIfDue(true), waitMs);
+  const cleanUp = () => {
     clearTimeout(timer);
     state.watchers.delete(watcher);
   };
-  const done = (status: number, body: object) => {
-    forget();
-    // The store may have come back while the call was held.
+  const respond = (status: number, body: object) => {
+    cleanUp();
+    // The store may have been restored while the call was waiting.
     response.setHeader("Store-Era", state.era);
     send(response, status, body);
   };
   state.watchers.add(watcher);
-  response.on("close", forget);
-  look(false);
+  response.on("close", cleanUp);
+  respondIfDue(false);
 }
 
-function answerWrite(
+function handleWrite(
   state: State,
   store: StoreStandin,
   body: string,
   response: ServerResponse,
 ): void {
   const { put: rows, IfRev } = JSON.parse(body) as {
-    put: KeptRow[];
-    IfRev: KeptRow[];
+    put: StoredRow[];
+    IfRev: StoredRow[];
   };
   const stale = IfRev.some((row) => {
-    const known = state.rows.get(`${row.table}/${row.PrivateKey}`);
-    return (known?.ver ?? 0) !== row.ver;
+    const stored = state.rows.get(`${row.table}/${row.PrivateKey}`);
+    return (stored?.ver ?? 0) !== row.ver;
   });
   if (stale) return send(response, 412, { Rows: [] });
   for (const { table, PrivateKey, Value } of rows) {
@@ -216,14 +221,14 @@
   send(response, 200, { ver: state.ver, now_ms: performance.now() });
 }
 
-/** Reads a body whole. */
+/** Reads a body to its end. */
 export async function textOf(request: IncomingMessage): Promise<string> {
   let text = "";
   for await (const part of request) text += String(part);
   return text;
 }
 
-/** Answers with JSON. */
+/** Sends a JSON response. */
 export function send(
   response: ServerResponse,
   status: number,
--- a/test/platform/store_test.ts
+++ b/test/platform/store_test.ts
@@ -1,4 +1,4 @@
-/** The store behind the product's port: listings, and what changes in them. */
+/** Listings and watches of the platform's store. */
 import assert from "node:assert/strict";
 import { test, type TestContext } from "node:test";
 import { createStore } from "../../platform/store.ts";
@@ -31,13 +31,13 @@
   return { standin, store: createStore(client) };
 }
 
-test("a watch tells what changed since a listing, and what went", async (t) => {
+test("a watch returns the rows changed and removed since a listing", async (t) => {
   const { standin, store } = await start(t);
   standin.put("servers", "a", REPLICA);
   standin.put("servers", "b", REPLICA);
   const listing = await store.readReplicas(SIGNAL);
   assert.deepEqual(
-    listing.entries.map((one) => one.incarnation).sort(),
+    listing.entries.map((entry) => entry.incarnation).sort(),
     ["a", "b"],
   );
   standin.put("servers", "a", { ...REPLICA, State: "draining" });
@@ -48,18 +48,18 @@
   assert.ok((changes?.revision ?? 0) > listing.revision);
   assert.equal(changes?.era, listing.era);
   assert.deepEqual(changes?.gone, ["b"]);
-  const seen = changes?.changed.map((one) => [
-    one.incarnation,
-    one.leaving,
-    one.address,
+  const changed = changes?.changed.map((entry) => [
+    entry.incarnation,
+    entry.leaving,
+    entry.address,
   ]);
-  assert.deepEqual(seen?.sort(), [
+  assert.deepEqual(changed?.sort(), [
     ["a", true, "127.0.0.1:1"],
     ["c", false, "127.0.0.1:2"],
   ]);
 });
 
-test("a watch over a lost history says so, and one without changes is empty", async (t) => {
+test("a watch without changes is empty, and one whose history is lost returns undefined", async (t) => {
   const { standin, store } = await start(t);
   standin.put("servers", "a", REPLICA);
   const listing = await store.readReplicas(SIGNAL);
@@ -69,7 +69,7 @@
   assert.equal(await store.watchReplicas(listing, 10, SIGNAL), undefined);
 });
 
-test("a configuration that can't be read is an error, not a fresh word", async (t) => {
+test("an unreadable configuration is an error", async (t) => {
   const { standin, store } = await start(t);
   standin.put("op", "config", { Version: 1 });
   const { place } = await store.readConfig(SIGNAL);
@@ -78,7 +78,7 @@
   await assert.rejects(store.watchConfig(place, 10, SIGNAL), /Unreadable/);
 });
 
-test("a watch from before the store came back from a copy is told that its history is gone", async (t) => {
+test("a watch from before the store was restored from a copy finds its history lost", async (t) => {
   const { standin, store } = await start(t);
   standin.put("servers", "a", REPLICA);
   standin.put("op", "config", { Version: 1 });
@@ -94,7 +94,8 @@
       store.watchConfig(place, 0, SIGNAL),
     ]);
   assert.deepEqual(await watches(), [undefined, {}]);
-  // The counter passes the old place: what lies below it would not be told.
+  // Once the revision exceeds that of the old position, a watch that ignored the
+  // era would miss the writes below it.
   standin.put("op", "config", { Version: 2 });
   for (const key of ["c", "d", "e"]) standin.put("servers", key, REPLICA);
   assert.deepEqual(await watches(), [undefined, {}]);
