--- a/src/settings/gateway.ts
+++ b/src/settings/gateway.ts
@@ -1,11 +1,11 @@
-/** Settings of a gateway; docs/SETTINGS.md has a line on each. */
+/** Settings schema of a gateway; docs/SETTINGS.md describes each key. */
 import * as z from "zod";
 import { address, duration, name, requiredDuration } from "./units.ts";
 
 const Host = z.strictObject({
   id: name(),
   hall: name(),
-  /** Where peers reach this host, if not at `listen.peers`. */
+  /** The address for peers, if it differs from `listen.peers`. */
   peer_address: address().optional(),
 });
 
@@ -30,16 +30,16 @@
 });
 
 const Crashes = z.strictObject({
-  /** Replicas that may crash under a request before it is sent to none. */
+  /** Number of replica crashes after which a request is rejected. */
   most: z.number().int().min(2).default(3),
-  /** How long a crash is remembered, and so a request refused. */
+  /** TTL of a recorded crash. */
   life: duration("5m"),
 });
 
 const Stages = z.strictObject({
-  /** Share of a service's model engines that read prompts. */
+  /** Share of a service's model engines in the prefill stage. */
   prefill_share: z.number().min(0.05).max(0.95).default(0.22),
-  /** Least time between the orders of two hosts. */
+  /** Minimum time between the stage orders of two hosts. */
   guard: duration("3s"),
 });
 
@@ -50,9 +50,9 @@
   retry_after_objectives: z.number().positive().default(2),
   stall: duration("1500ms"),
   /**
-   * A running answer holds half of its output on average over its life, and
-   * many share a replica: more leaves memory idle, less makes replicas
-   * preempt.
+   * Share of the expected output for which memory is reserved. A running
+   * response uses half of its final output on average; a higher value leaves
+   * memory unused, a lower one makes replicas preempt.
    */
   output_margin: z.number().min(0).max(10).default(0.5),
   memory_share: z.number().min(0.1).max(1).default(0.96),
@@ -61,11 +61,14 @@
 
 const Customers = z.strictObject({
   /**
-   * Keys are not trusted on an older word of the configuration than this;
-   * absent: they are trusted however old it is.
+   * Maximum age of the configuration by which API keys are accepted; absent for
+   * no maximum.
    */
   key_max_age: requiredDuration().optional(),
-  /** Bounds on what all hosts together let through of a customer's quota. */
+  /**
+   * Within any window, all hosts together admit up to
+   * (rate x window + burst) x (1 + overshoot) + tolerance units of a customer.
+   */
   quota_window: duration("10s"),
   quota_overshoot: z.number().min(0).default(0.1),
   quota_tolerance: z.number().min(0).default(0),
@@ -80,9 +83,9 @@
   host: Host,
   listen: Listen,
   store: Store,
-  /** Addresses of peers that are known before the store answers. */
+  /** Addresses of peers to contact before the store responds. */
   seeds: z.array(address()).default([]),
-  /** Time from SIGTERM to the forced end. */
+  /** Maximum time from SIGTERM to the exit. */
   grace: duration("8s"),
   retries: Retries.prefault({}),
   crashes: Crashes.prefault({}),
--- a/src/settings/load.ts
+++ b/src/settings/load.ts
@@ -1,10 +1,10 @@
-/** Reads a TOML settings file and checks it against its schema. */
+/** Loads TOML settings files and validates them against their schema. */
 import { readFileSync } from "node:fs";
 import { parse, TomlError } from "smol-toml";
 import type { z } from "zod";
 import { Err, Ok, type Result } from "../util/result.ts";
 
-/** One thing wrong with a settings file. */
+/** One fault in a settings file. */
 export type SettingsFault = {
   readonly file: string;
   /** Dotted path of the key; "" for the file as a whole. */
@@ -12,7 +12,7 @@
   readonly expected: string;
 };
 
-/** Reads and checks a file; gives all its faults at once. */
+/** Loads a file; returns its settings or all its faults. */
 export function loadSettings<Schema extends z.ZodType>(
   file: string,
   schema: Schema,
@@ -26,7 +26,7 @@
   return checkSettings(file, text, schema);
 }
 
-/** Checks a settings text; `file` is only named in faults. */
+/** Validates the text of a settings file; `file` is used only in faults. */
 export function checkSettings<Schema extends z.ZodType>(
   file: string,
   text: string,
@@ -53,8 +53,10 @@
   return { file, key, expected: "no such key; see docs/SETTINGS.md" };
 }
 
-/** A fault as one line. */
+/** Formats a fault as one line. */
 export function faultLine(fault: SettingsFault): string {
-  const place = fault.key === "" ? fault.file : `${fault.file}: ${fault.key}`;
-  return `${place}: ${fault.expected}`;
+  const location = fault.key === ""
+    ? fault.file
+    : `${fault.file}: ${fault.key}`;
+  return `${location}: ${fault.expected}`;
 }
--- a/src/settings/mod.ts
+++ b/src/settings/mod.ts
@@ -1,4 +1,4 @@
-/** Settings files: TOML, checked by a schema, faults named by key. */
+/** Loading of TOML settings files and the schemas that validate them. */
 export * from "./load.ts";
 export * from "./router.ts";
 export * from "./standin.ts";
--- a/src/settings/router.ts
+++ b/src/settings/router.ts
@@ -1,4 +1,4 @@
-/** Settings of an entry host; docs/SETTINGS.md has a line on each. */
+/** Settings schema of an entry host; docs/SETTINGS.md describes each key. */
 import * as z from "zod";
 import { address, duration, name, size } from "./units.ts";
 
--- a/src/settings/standin.ts
+++ b/src/settings/standin.ts
@@ -1,4 +1,4 @@
-/** Settings of the stand-ins. */
+/** Settings schemas of the stand-ins. */
 import * as z from "zod";
 import { DEFAULT_ENGINE } from "../standins/engine/mod.ts";
 import { address, duration, name } from "./units.ts";
--- a/src/settings/units.ts
+++ b/src/settings/units.ts
@@ -1,12 +1,12 @@
-/** Settings with a unit: durations, sizes and addresses. */
+/** Schemas of settings values: durations, sizes, addresses and names. */
 import bytes from "bytes";
 import ms, { type StringValue } from "ms";
 import * as z from "zod";
 import { parseAddress } from "../util/address.ts";
 
-/** A duration that has a usual value. */
-export function duration(usual: string) {
-  return requiredDuration().prefault(usual);
+/** A duration with a default. */
+export function duration(defaultValue: string) {
+  return requiredDuration().prefault(defaultValue);
 }
 
 /** A duration such as "250ms" or "3s", as milliseconds. */
@@ -21,15 +21,15 @@
   });
 }
 
-/** A size such as "8MB" (powers of 1024), as bytes. */
-export function size(usual: string) {
+/** A size such as "8MB" (powers of 1024), as bytes, with a default. */
+export function size(defaultValue: string) {
   return z.string().transform((text, context) => {
     const value = /[a-z]\s*$/i.test(text) ? bytes.parse(text) : null;
     if (value !== null && value > 0) return value;
     const message = `expected a size such as "512KB" or "8MB", got "${text}"`;
     context.addIssue({ code: "custom", message });
     return z.NEVER;
-  }).prefault(usual);
+  }).prefault(defaultValue);
 }
 
 /** An address of the form `IP:port`. */
--- a/test/settings/reference_test.ts
+++ b/test/settings/reference_test.ts
@@ -1,51 +1,56 @@
-/** docs/SETTINGS.md names every setting with its default, and no other. */
+/** Checks that docs/SETTINGS.md lists exactly the schemas' settings. */
 import assert from "node:assert/strict";
 import { readFileSync } from "node:fs";
 import { test } from "node:test";
 import * as z from "zod";
 import { GatewaySchema, RouterSchema } from "../../src/settings/mod.ts";
 
-/** What the page shows where a setting has to be given. */
+/** The page's default of a required setting. */
 const REQUIRED = "-";
-/** What it shows where nothing stands for a setting. */
+/** The page's default of an optional setting without a default. */
 const NONE = "none";
 
+/** Defaults by settings key. */
 type Reference = ReadonlyMap<string, string>;
 
-/** Settings and their defaults as the schema has them. */
-function inSchema(schema: z.ZodType, path: string): [string, string][] {
-  const { inner, usual } = unwrap(schema);
-  if (!(inner instanceof z.ZodObject)) return [[path, usual]];
+/** The settings of a schema with their defaults. */
+function schemaSettings(schema: z.ZodType, path: string): [string, string][] {
+  const { inner, defaultText } = unwrap(schema);
+  if (!(inner instanceof z.ZodObject)) return [[path, defaultText]];
   const fields = inner.shape as Record<string, z.ZodType>;
   return Object.entries(fields).flatMap(([name, field]) =>
-    inSchema(field, path === "" ? name : `${path}.${name}`)
+    schemaSettings(field, path === "" ? name : `${path}.${name}`)
   );
 }
 
-function unwrap(schema: z.ZodType): { inner: z.ZodType; usual: string } {
+function unwrap(schema: z.ZodType): { inner: z.ZodType; defaultText: string } {
   if (schema instanceof z.ZodOptional) {
-    return { inner: schema.unwrap() as z.ZodType, usual: NONE };
+    return { inner: schema.unwrap() as z.ZodType, defaultText: NONE };
   }
   if (schema instanceof z.ZodPrefault || schema instanceof z.ZodDefault) {
     const { defaultValue } = schema.def;
-    const usual = Array.isArray(defaultValue) ? NONE : String(defaultValue);
-    return { inner: schema.unwrap() as z.ZodType, usual };
+    const defaultText = Array.isArray(defaultValue)
+      ? NONE
+      : String(defaultValue);
+    return { inner: schema.unwrap() as z.ZodType, defaultText };
   }
-  return { inner: schema, usual: REQUIRED };
+  return { inner: schema, defaultText: REQUIRED };
 }
 
-/** Settings and their defaults as the page's section has them. */
-function onPage(program: string): Reference {
+/** The settings of a program's section of the page with their defaults. */
+function documentedSettings(program: string): Reference {
   const page = readFileSync("docs/SETTINGS.md", "utf8");
-  const section = page.split("\n## ").find((one) => one.startsWith(program));
-  const rows = (section ?? "").split("\n").filter((one) =>
-    one.startsWith("| `")
+  const section = page.split("\n## ").find((part) => part.startsWith(program));
+  const rows = (section ?? "").split("\n").filter((line) =>
+    line.startsWith("| `")
   );
   const found = new Map<string, string>();
   for (const row of rows) {
-    const [, keys = "", usual = ""] = row.split("|").map((one) => one.trim());
-    const names = keys.split(",").map((one) => one.trim().replaceAll("`", ""));
-    const defaults = usual.split(",").map((one) => one.trim());
+    const [, keys = "", defaultText = ""] = row.split("|").map((cell) =>
+      cell.trim()
+    );
+    const names = keys.split(",").map((key) => key.trim().replaceAll("`", ""));
+    const defaults = defaultText.split(",").map((value) => value.trim());
     names.forEach((name, at) => {
       found.set(name, defaults[at] ?? defaults[0] ?? "");
     });
@@ -62,10 +67,10 @@
     ["otterhill-gateway", GatewaySchema],
   ] as const
 ) {
-  test(`the page's settings of ${program} are those of its schema`, () => {
+  test(`docs/SETTINGS.md lists the settings of ${program} with their defaults`, () => {
     assert.deepEqual(
-      sorted(onPage(program)),
-      sorted(inSchema(schema, "")),
+      sorted(documentedSettings(program)),
+      sorted(schemaSettings(schema, "")),
     );
   });
 }
