--- a/src/util/forget_oldest.ts
+++ b/src/util/forget_oldest.ts
@@ -1,12 +1,12 @@
-/** Bounds a map or set by forgetting what was entered first. */
+/** Limits the size of a map or set by evicting the oldest entries. */
 
-/** Forgets the oldest entries until no more than `most` are left. */
+/** Evicts entries in insertion order until at most `maxSize` are left. */
 export function forgetOldest<Key>(
   entries: Pick<Map<Key, unknown> | Set<Key>, "keys" | "delete" | "size">,
-  most: number,
+  maxSize: number,
 ): void {
   for (const key of entries.keys()) {
-    if (entries.size <= most) return;
+    if (entries.size <= maxSize) return;
     entries.delete(key);
   }
 }
--- a/src/util/line_fit.ts
+++ b/src/util/line_fit.ts
@@ -1,4 +1,4 @@
-/** A least-squares line through samples, older ones fading. */
+/** Least-squares line fit with exponentially decaying sample weights. */
 
 /** Weighted sums of the samples. */
 export type LineFit = {
@@ -12,26 +12,26 @@
 /** y = base + slope * x. */
 export type Line = { readonly base: number; readonly slope: number };
 
-/** A fit without samples. */
+/** Creates a fit without samples. */
 export function emptyFit(): LineFit {
   return { weight: 0, x: 0, y: 0, xx: 0, xy: 0 };
 }
 
-/** Adds a sample; `memory` is the part of the old samples that stays. */
+/** Adds a sample after multiplying the earlier samples' weights by `decay`. */
 export function addSample(
   fit: LineFit,
   sample: { readonly x: number; readonly y: number },
-  memory: number,
+  decay: number,
 ): void {
   const { x, y } = sample;
-  fit.weight = fit.weight * memory + 1;
-  fit.x = fit.x * memory + x;
-  fit.y = fit.y * memory + y;
-  fit.xx = fit.xx * memory + x * x;
-  fit.xy = fit.xy * memory + x * y;
+  fit.weight = fit.weight * decay + 1;
+  fit.x = fit.x * decay + x;
+  fit.y = fit.y * decay + y;
+  fit.xx = fit.xx * decay + x * x;
+  fit.xy = fit.xy * decay + x * y;
 }
 
-/** The rising line; undefined with few samples or without spread. */
+/** The fitted line; undefined with too few samples, little spread or slope <= 0. */
 export function fittedLine(fit: LineFit): Line | undefined {
   const { weight, x, y, xx, xy } = fit;
   if (weight < 3) return undefined;
--- a/src/util/list_entry.ts
+++ b/src/util/list_entry.ts
@@ -1,7 +1,7 @@
-/** An entry of the platform's host list as it goes over the wire. */
+/** Conversion of host list entries to and from the platform's wire format. */
 import type { ListEntry } from "../core/mod.ts";
 
-/** The wire's names; docs/PLATFORM.md. */
+/** An entry in the wire format; see docs/PLATFORM.md. */
 export type WireEntry = {
   readonly id: string;
   readonly kind: string;
@@ -17,27 +17,27 @@
   readonly cache_tokens: number;
 };
 
-/** The core's entry for one from the wire. */
-export function entryFromWire(one: WireEntry): ListEntry {
+/** Converts an entry from the wire format. */
+export function entryFromWire(entry: WireEntry): ListEntry {
   return {
-    id: one.id,
-    kind: one.kind,
-    hall: one.hall,
-    region: one.region,
-    address: one.address,
-    service: one.service,
-    role: one.role,
-    leaving: one.leaving,
-    checksOrders: one.checks_orders,
-    slots: one.slots,
-    prefillRate: one.prefill_tokens_per_second,
-    cacheTokens: one.cache_tokens,
+    id: entry.id,
+    kind: entry.kind,
+    hall: entry.hall,
+    region: entry.region,
+    address: entry.address,
+    service: entry.service,
+    role: entry.role,
+    leaving: entry.leaving,
+    checksOrders: entry.checks_orders,
+    slots: entry.slots,
+    prefillRate: entry.prefill_tokens_per_second,
+    cacheTokens: entry.cache_tokens,
   };
 }
 
-/** The wire's entry for one of the core. */
-export function entryToWire(one: ListEntry): WireEntry {
-  const { checksOrders, prefillRate, cacheTokens, ...rest } = one;
+/** Converts an entry to the wire format. */
+export function entryToWire(entry: ListEntry): WireEntry {
+  const { checksOrders, prefillRate, cacheTokens, ...rest } = entry;
   return {
     ...rest,
     checks_orders: checksOrders,
--- a/src/util/read_json.ts
+++ b/src/util/read_json.ts
@@ -1,7 +1,7 @@
-/** JSON from outside, checked by a schema. */
+/** Parsing of JSON from untrusted sources. */
 import type { z } from "zod";
 
-/** Reads JSON of a schema's shape; undefined when it is no such thing. */
+/** Parses JSON by a schema; undefined if the text or its shape is invalid. */
 export function readJson<Schema extends z.ZodType>(
   schema: Schema,
   text: string,
--- a/src/util/rendezvous.ts
+++ b/src/util/rendezvous.ts
@@ -1,7 +1,7 @@
-/** Rendezvous hashing: every host finds the same owner without asking. */
+/** Rendezvous hashing, by which all hosts select the same owner for a key. */
 import murmurhash from "murmurhash";
 
-/** The candidates in order of their score for a key, best first. */
+/** Sorts the candidates by their score for a key, highest first. */
 export function rendezvous(
   key: string,
   candidates: readonly string[],
@@ -11,5 +11,5 @@
     score: murmurhash.v3(`${key}\n${id}`),
   }));
   scored.sort((a, b) => b.score - a.score || (a.id < b.id ? -1 : 1));
-  return scored.map((one) => one.id);
+  return scored.map((candidate) => candidate.id);
 }
--- a/src/util/result.ts
+++ b/src/util/result.ts
@@ -1,8 +1,8 @@
-/** ts-results as ES modules can import it on Node 20. */
+/** Re-exports ts-results, a CommonJS package, with named exports. */
 import results from "ts-results";
 
 export type { Result } from "ts-results";
-/** Makes a good result. */
+/** Creates a successful result. */
 export const Ok = results.Ok;
-/** Makes a fault. */
+/** Creates a failed result. */
 export const Err = results.Err;
--- a/src/util/units.ts
+++ b/src/util/units.ts
@@ -1,4 +1,4 @@
-/** Units that the code counts in. */
+/** Types of units. */
 
-/** A span or a point of time in milliseconds. */
+/** A duration or a point in time in milliseconds. */
 export type Milliseconds = number;
