--- a/test/fake/callers.ts
+++ b/test/fake/callers.ts
@@ -1,4 +1,4 @@
-/** Fake callers and what each of them has got. */
+/** Requests of fake callers and the records of their responses. */
 import {
   BLOCK_TOKENS,
   type CallerRequest,
@@ -8,7 +8,7 @@
 import murmurhash from "murmurhash";
 import { hashOf } from "./seed_rows.ts";
 
-/** What a fake caller sends. */
+/** A request of a fake caller. */
 export type Call = {
   readonly host: string;
   readonly customer?: string;
@@ -17,9 +17,9 @@
   readonly stream?: boolean;
   readonly once?: boolean;
   readonly callerKey?: string;
-  /** Text that names the prompt; the answer names it too. */
+  /** Identifies the prompt; the response repeats it. */
   readonly text: string;
-  /** Shared leading part of the prompt: its name and tokens. */
+  /** The shared prefix of the prompt: its name and its length in tokens. */
   readonly prefix?: string;
   readonly prefixTokens?: number;
   readonly promptTokens?: number;
@@ -27,7 +27,7 @@
   readonly patienceMs?: number;
 };
 
-/** What a fake caller has got. */
+/** What a fake caller has received for a request. */
 export type Got = {
   readonly id: string;
   readonly call: Call;
@@ -38,7 +38,7 @@
   endedAt?: number;
   whole: boolean;
   gone: boolean;
-  /** Its entry host died or was cut off before the end. */
+  /** The entry host crashed before the response ended. */
   broken: boolean;
   error?: ErrorKind;
   ran?: Ran;
@@ -46,7 +46,7 @@
   status?: number;
 };
 
-/** What the fakes carry as a request's body. */
+/** The body of a request in the fake fleet, encoded as JSON. */
 export type FakeBody = {
   readonly text: string;
   readonly promptTokens: number;
@@ -54,14 +54,14 @@
   readonly outputTokens: number;
 };
 
-/** Prompt size and answer size when a call gives none. */
+/** Default sizes of prompt and response. */
 const PROMPT_TOKENS = 600;
 const OUTPUT_TOKENS = 40;
 
-/** The core's event for a call. */
+/** Returns the core's event for a call. */
 export function callerRequest(id: string, call: Call): CallerRequest {
   const promptTokens = call.promptTokens ?? PROMPT_TOKENS;
-  const prefixes = blocksOf(call, promptTokens);
+  const prefixes = prefixBlocks(call, promptTokens);
   const outputTokens = call.outputTokens ?? OUTPUT_TOKENS;
   const body: FakeBody = {
     text: call.text,
@@ -87,7 +87,7 @@
   };
 }
 
-function blocksOf(call: Call, promptTokens: number): number[] {
+function prefixBlocks(call: Call, promptTokens: number): number[] {
   const shared = Math.min(call.prefixTokens ?? 0, promptTokens);
   const blocks: number[] = [];
   for (let end = BLOCK_TOKENS; end <= promptTokens; end += BLOCK_TOKENS) {
--- a/test/fake/carry.ts
+++ b/test/fake/carry.ts
@@ -1,4 +1,4 @@
-/** Carries out a core's orders in the fake fleet. */
+/** Executes the orders of a core in the fake fleet. */
 import type { Event, Order, UpstreamId } from "../../src/core/mod.ts";
 import { readRows, writeRows } from "../../src/standins/platform/model.ts";
 import type { Got } from "./callers.ts";
@@ -6,15 +6,12 @@
 import { PLATFORM } from "./network.ts";
 import type { FakeUpstream } from "./upstream.ts";
 
-/** A connection attempt that gets no answer is given up after this. */
-const CONNECT_MS = 300;
-/** A message to a peer that gets no answer is given up after this. */
-const PEER_MS = 500;
-/** One call of the platform, there and back. */
-const PLATFORM_MS = 5;
+const CONNECT_TIMEOUT_MS = 300;
+const PEER_TIMEOUT_MS = 500;
+const PLATFORM_ROUND_TRIP_MS = 5;
 
-/** Carries out one order of a host. */
-export function carryOut(fleet: Fleet, host: FakeHost, order: Order): void {
+/** Executes one order of a host. */
+export function executeOrder(fleet: Fleet, host: FakeHost, order: Order): void {
   switch (order.type) {
     case "replyChunk":
     case "replyEnd":
@@ -22,52 +19,67 @@
     case "replyError":
       return reply(fleet, order);
     case "prefill":
-      return send(fleet, host, order, (at) => at.prefill(host, order));
+      return sendWork(
+        fleet,
+        host,
+        order,
+        (target) => target.prefill(host, order),
+      );
     case "decode":
-      return send(fleet, host, order, (at) => at.decode(host, order));
+      return sendWork(
+        fleet,
+        host,
+        order,
+        (target) => target.decode(host, order),
+      );
     case "callPlain":
-      return send(
+      return sendWork(
         fleet,
         host,
         order,
-        (at) => at.call(host, order.attempt, order.body),
+        (target) => target.call(host, order.attempt, order.body),
       );
     case "resume":
-      return send(
+      return sendWork(
         fleet,
         host,
         order,
-        (at) => at.resume(host, order.attempt, order.after),
+        (target) => target.resume(host, order.attempt, order.after),
       );
     case "cancel":
-      return ask(fleet, host, order.upstream, (at) => {
+      return queryUpstream(fleet, host, order.upstream, (target) => {
         const { attempt, upstream } = order;
-        if (!at.cancel(attempt)) return undefined;
+        if (!target.cancel(attempt)) return undefined;
         return { type: "cancelDone", attempt, upstream };
       });
     case "readLoad":
-      return ask(fleet, host, order.upstream, (at) => at.load());
+      return queryUpstream(
+        fleet,
+        host,
+        order.upstream,
+        (target) => target.load(),
+      );
     case "readCache":
-      return ask(
+      return queryUpstream(
         fleet,
         host,
         order.upstream,
-        (at) => at.cacheEvents(order.after),
+        (target) => target.cacheEvents(order.after),
       );
     case "readHeld":
-      return ask(fleet, host, order.upstream, (at) => ({
+      return queryUpstream(fleet, host, order.upstream, (target) => ({
         type: "heldList",
         upstream: order.upstream,
-        attempts: at.held(),
+        attempts: target.held(),
       }));
     case "turnRole":
-      return ask(fleet, host, order.upstream, (at) => {
+      return queryUpstream(fleet, host, order.upstream, (target) => {
         const { upstream, role, fence } = order;
-        if (at.turn(host.id, role, fence)) return undefined;
+        if (target.changeRole(host.id, role, fence)) return undefined;
         return { type: "orderRefused", upstream };
       });
     case "tell":
-      return tell(fleet, host, order);
+      return sendToPeer(fleet, host, order);
     case "readHosts":
     case "readTable":
     case "writeTable":
@@ -93,75 +105,75 @@
       got.tokens += order.tokens;
       return;
     case "replyEnd":
-      return end(fleet, got, true);
+      return endCall(fleet, got, true);
     case "replyPlain":
       got.text = order.body;
       got.status = order.status;
-      return end(fleet, got, true);
+      return endCall(fleet, got, true);
     case "replyError":
       got.error = order.error;
       got.ran = order.ran;
       if (order.retryAfterSeconds !== undefined) {
         got.retryAfterSeconds = order.retryAfterSeconds;
       }
-      return end(fleet, got, false);
+      return endCall(fleet, got, false);
   }
 }
 
-function end(fleet: Fleet, got: Got, whole: boolean): void {
+function endCall(fleet: Fleet, got: Got, isComplete: boolean): void {
   got.endedAt = fleet.now;
-  got.whole = whole;
+  got.whole = isComplete;
 }
 
-type Sent = Extract<Order, {
+type WorkOrder = Extract<Order, {
   type: "prefill" | "decode" | "callPlain" | "resume";
 }>;
 
-/** Sends work to an upstream, or tells how that failed. */
-function send(
+/** Sends work to an upstream, or delivers the failure to the host. */
+function sendWork(
   fleet: Fleet,
   host: FakeHost,
-  order: Sent,
-  run: (at: FakeUpstream) => void,
+  order: WorkOrder,
+  start: (target: FakeUpstream) => void,
 ): void {
-  const at = fleet.upstream(order.upstream);
+  const target = fleet.upstream(order.upstream);
   const { attempt, upstream } = order;
   const failure = order.type === "resume" ? "broken" : "not-started";
   const failed: Event = { type: "attemptFailed", attempt, upstream, failure };
   const { network } = fleet;
-  if (!network.reaches(host.hall, at.laid.hall)) {
-    return fleet.after(CONNECT_MS, () => fleet.deliver(host, failed));
+  if (!network.reaches(host.hall, target.laid.hall)) {
+    return fleet.after(CONNECT_TIMEOUT_MS, () => fleet.deliver(host, failed));
   }
-  const delay = network.delay(host.hall, at.laid.hall);
+  const delay = network.delay(host.hall, target.laid.hall);
   fleet.after(delay, () => {
-    if (at.alive) run(at);
+    if (target.alive) start(target);
     else fleet.after(delay, () => fleet.deliver(host, failed));
   });
 }
 
-/** Asks an upstream something; silence when it can't be reached. */
-function ask(
+/** Queries an upstream; an unreachable one sends no response. */
+function queryUpstream(
   fleet: Fleet,
   host: FakeHost,
   upstream: UpstreamId,
-  answer: (at: FakeUpstream) => Event | undefined,
+  respond: (target: FakeUpstream) => Event | undefined,
 ): void {
-  const at = fleet.upstream(upstream);
+  const target = fleet.upstream(upstream);
   const { network } = fleet;
-  if (!network.reaches(host.hall, at.laid.hall)) return;
-  const delay = network.delay(host.hall, at.laid.hall);
+  if (!network.reaches(host.hall, target.laid.hall)) return;
+  const delay = network.delay(host.hall, target.laid.hall);
   const { incarnation } = host;
   fleet.after(delay, () => {
-    const event = at.alive ? answer(at) : undefined;
+    const event = target.alive ? respond(target) : undefined;
     if (!event) return;
     fleet.after(delay, () => {
-      if (!network.reaches(host.hall, at.laid.hall)) return;
+      if (!network.reaches(host.hall, target.laid.hall)) return;
       if (host.incarnation === incarnation) fleet.deliver(host, event);
     });
   });
 }
 
-function tell(
+function sendToPeer(
   fleet: Fleet,
   host: FakeHost,
   order: Extract<Order, { type: "tell" }>,
@@ -170,7 +182,7 @@
   const failed: Event = { type: "peerFailed", peer: order.to };
   const { network } = fleet;
   if (!peer || !network.reaches(host.hall, peer.hall)) {
-    return fleet.after(PEER_MS, () => fleet.deliver(host, failed));
+    return fleet.after(PEER_TIMEOUT_MS, () => fleet.deliver(host, failed));
   }
   const event: Event = {
     type: "peerMessage",
@@ -180,7 +192,9 @@
   };
   fleet.after(network.delay(host.hall, peer.hall), () => {
     if (!peer.alive) return fleet.deliver(host, failed);
-    if (peer.frozen) fleet.after(PEER_MS, () => fleet.deliver(host, failed));
+    if (peer.frozen) {
+      fleet.after(PEER_TIMEOUT_MS, () => fleet.deliver(host, failed));
+    }
     fleet.deliver(peer, event);
   });
 }
@@ -197,18 +211,18 @@
   const { platform, network } = fleet;
   if (!network.reaches(host.hall, PLATFORM)) return;
   const { incarnation } = host;
-  fleet.after(PLATFORM_MS / 2, () => {
+  fleet.after(PLATFORM_ROUND_TRIP_MS / 2, () => {
     if (platform.down) return;
-    const event = platformAnswer(fleet, order);
+    const event = platformResponse(fleet, order);
     if (!event) return;
-    fleet.after(PLATFORM_MS / 2 + platform.slowMs, () => {
+    fleet.after(PLATFORM_ROUND_TRIP_MS / 2 + platform.slowMs, () => {
       if (!network.reaches(host.hall, PLATFORM)) return;
       if (host.incarnation === incarnation) fleet.deliver(host, event);
     });
   });
 }
 
-function platformAnswer(
+function platformResponse(
   fleet: Fleet,
   order: PlatformCall,
 ): Event | undefined {
--- a/test/fake/fleet.ts
+++ b/test/fake/fleet.ts
@@ -1,6 +1,6 @@
 /**
- * A fake fleet in virtual time: real cores, the stand-ins' models, a network
- * with cuts. The same seed and the same calls give the same run.
+ * A fake fleet in virtual time: real cores, the stand-ins' models and a network
+ * with partitions. Runs with the same seed and the same calls are identical.
  */
 import {
   createWorld,
@@ -19,17 +19,16 @@
   writeRows,
 } from "../../src/standins/platform/model.ts";
 import { type Call, callerRequest, type Got } from "./callers.ts";
-import { carryOut } from "./carry.ts";
+import { executeOrder } from "./carry.ts";
 import { type Layout, listOf } from "./layout.ts";
 import { Network } from "./network.ts";
 import { TimeQueue } from "./queue.ts";
 import { FakeUpstream } from "./upstream.ts";
 import { seedRows } from "./seed_rows.ts";
 
-/** Time between two ticks of a host. */
-const TICK_MS = 20;
+const TICK_INTERVAL_MS = 20;
 
-/** One fake entry host. */
+/** A fake entry host. */
 export type FakeHost = {
   readonly id: string;
   readonly hall: string;
@@ -37,23 +36,23 @@
   alive: boolean;
   frozen: boolean;
   inbox: Event[];
-  /** A step is planned for the inbox. */
-  planned: boolean;
-  calls: number;
+  /** A step that handles the inbox is scheduled. */
+  isStepScheduled: boolean;
+  callCount: number;
   incarnation: number;
 };
 
-/** What sets a fleet up. */
-export type FleetSource = {
+/** Options of {@link Fleet}. */
+export type FleetOptions = {
   readonly layout: Layout;
   readonly seed: number;
   readonly options?: Partial<Options>;
   readonly policy?: () => Policy;
-  /** Starts without settings rows. */
+  /** Starts without settings rows in the platform. */
   readonly bare?: boolean;
 };
 
-/** The fleet. */
+/** Hosts and upstreams that share a virtual clock and a fake network. */
 export class Fleet {
   readonly queue = new TimeQueue();
   readonly network = new Network();
@@ -61,49 +60,49 @@
   readonly hosts = new Map<string, FakeHost>();
   readonly upstreams = new Map<string, FakeUpstream>();
   readonly got = new Map<string, Got>();
-  readonly source: FleetSource;
-  /** Sees every order, for measurements and checks. */
+  readonly options: FleetOptions;
+  /** Called with each order before it is executed. */
   onOrder: (host: FakeHost, order: Order) => void = () => undefined;
-  /** Sees every finished prefill. */
+  /** Called when a prefill has finished. */
   onPrefilled: (attempt: string, computedTokens: number) => void = () =>
     undefined;
-  /** Run after every host's step. */
+  /** Called after each step of a host. */
   onStep: (host: FakeHost) => void = () => undefined;
   now = 0;
 
-  constructor(source: FleetSource) {
-    this.source = source;
-    putHosts(this.platform, listOf(source.layout));
-    if (!source.bare) writeRows(this.platform, seedRows());
-    for (const one of source.layout.upstreams) {
-      this.upstreams.set(one.id, new FakeUpstream(this, one));
+  constructor(options: FleetOptions) {
+    this.options = options;
+    putHosts(this.platform, listOf(options.layout));
+    if (!options.bare) writeRows(this.platform, seedRows());
+    for (const upstream of options.layout.upstreams) {
+      this.upstreams.set(upstream.id, new FakeUpstream(this, upstream));
     }
-    for (const one of source.layout.hosts) this.#addHost(one.id, one.hall);
+    for (const host of options.layout.hosts) this.#addHost(host.id, host.hall);
   }
 
   #addHost(id: string, hall: string): void {
     const host: FakeHost = {
       id,
       hall,
-      world: this.#newWorld(id, hall, 1),
+      world: this.#createWorld(id, hall, 1),
       alive: true,
       frozen: false,
       inbox: [],
-      planned: false,
-      calls: 0,
+      isStepScheduled: false,
+      callCount: 0,
       incarnation: 1,
     };
     this.hosts.set(id, host);
-    const phase = this.hosts.size % TICK_MS;
+    const phase = this.hosts.size % TICK_INTERVAL_MS;
     this.after(phase, () => this.#tick(host, host.incarnation));
   }
 
-  #newWorld(id: string, hall: string, incarnation: number): World {
-    const { seed, options, policy } = this.source;
-    const place = [...this.hosts.keys()].indexOf(id) + 2;
+  #createWorld(id: string, hall: string, incarnation: number): World {
+    const { seed, options, policy } = this.options;
+    const index = [...this.hosts.keys()].indexOf(id) + 2;
     return createWorld({
       self: { id, hall, region: "region", incarnation },
-      seed: seed * 1000 + place * 10 + incarnation,
+      seed: seed * 1000 + index * 10 + incarnation,
       ...(options ? { options } : {}),
       ...(policy ? { policy: policy() } : {}),
     });
@@ -112,15 +111,15 @@
   #tick(host: FakeHost, incarnation: number): void {
     if (!host.alive || host.incarnation !== incarnation) return;
     if (!host.frozen) this.deliver(host, { type: "tick" });
-    this.after(TICK_MS, () => this.#tick(host, incarnation));
+    this.after(TICK_INTERVAL_MS, () => this.#tick(host, incarnation));
   }
 
-  /** Does something later. */
+  /** Schedules `run` after `span` milliseconds. */
   after(span: number, run: () => void): void {
     this.queue.push(this.now + span, run);
   }
 
-  /** Runs until a point of virtual time. */
+  /** Runs until the virtual time `end`. */
   runUntil(end: number): void {
     while (this.queue.nextAt <= end) {
       const item = this.queue.pop();
@@ -131,52 +130,52 @@
     this.now = end;
   }
 
-  /** Runs for a span of virtual time. */
+  /** Runs for `span` milliseconds of virtual time. */
   run(span: number): void {
     this.runUntil(this.now + span);
   }
 
-  /** Gives an event to a host; a frozen one gets it when it thaws. */
+  /** Delivers an event to a host; a frozen host handles it when it resumes. */
   deliver(host: FakeHost, event: Event): void {
     if (!host.alive) return;
     host.inbox.push(event);
-    if (host.frozen || host.planned) return;
-    host.planned = true;
+    if (host.frozen || host.isStepScheduled) return;
+    host.isStepScheduled = true;
     this.after(0, () => this.#step(host));
   }
 
   #step(host: FakeHost): void {
-    host.planned = false;
+    host.isStepScheduled = false;
     if (!host.alive || host.frozen) return;
     const events = host.inbox;
     host.inbox = [];
     for (const order of step(host.world, events, this.now)) {
       this.onOrder(host, order);
-      carryOut(this, host, order);
+      executeOrder(this, host, order);
     }
     this.onStep(host);
   }
 
-  /** The host of that name. */
+  /** Returns the host with the id. */
   host(id: string): FakeHost {
     const host = this.hosts.get(id);
     if (!host) throw new Error(`No host named ${id}`);
     return host;
   }
 
-  /** The upstream of that name. */
+  /** Returns the upstream with the id. */
   upstream(id: string): FakeUpstream {
     const upstream = this.upstreams.get(id);
     if (!upstream) throw new Error(`No upstream named ${id}`);
     return upstream;
   }
 
-  /** A caller sends a request. */
+  /** Sends a request of a caller to a host. */
   call(call: Call): Got {
     const host = this.host(call.host);
-    host.calls += 1;
+    host.callCount += 1;
     const owner = { host: host.id, incarnation: host.incarnation };
-    const id = requestId(owner, host.calls);
+    const id = requestId(owner, host.callCount);
     const got: Got = {
       id,
       call,
@@ -192,7 +191,7 @@
     return got;
   }
 
-  /** A caller goes away. */
+  /** Disconnects a caller before its response ends. */
   hangUp(got: Got): void {
     if (got.endedAt !== undefined) return;
     got.gone = true;
@@ -200,31 +199,31 @@
     this.deliver(host, { type: "callerGone", request: got.id });
   }
 
-  /** A host dies; what it knew is lost. */
+  /** Kills a host, which loses its state. */
   kill(id: string): void {
     const host = this.host(id);
     host.alive = false;
     host.frozen = false;
     host.inbox = [];
     for (const got of this.got.values()) {
-      const its = got.call.host === id && got.endedAt === undefined;
-      if (its) got.broken = true;
+      const isPending = got.call.host === id && got.endedAt === undefined;
+      if (isPending) got.broken = true;
     }
   }
 
-  /** A host starts anew. */
+  /** Starts a host with empty state, after killing it if it is alive. */
   start(id: string): void {
     const host = this.host(id);
     if (host.alive) this.kill(id);
     host.incarnation += 1;
-    host.calls = 0;
+    host.callCount = 0;
     host.alive = true;
-    host.planned = false;
-    host.world = this.#newWorld(id, host.hall, host.incarnation);
+    host.isStepScheduled = false;
+    host.world = this.#createWorld(id, host.hall, host.incarnation);
     this.#tick(host, host.incarnation);
   }
 
-  /** A host stands still, or goes on as if nothing had happened. */
+  /** Suspends a host, or resumes it with its state unchanged. */
   freeze(id: string, frozen: boolean): void {
     const host = this.host(id);
     host.frozen = frozen;
--- a/test/fake/layout.ts
+++ b/test/fake/layout.ts
@@ -1,54 +1,54 @@
-/** Which hosts and upstreams a fake fleet has. */
+/** Hosts and upstreams of a fake fleet. */
 import type { ListEntry } from "../../src/core/mod.ts";
 import {
   DEFAULT_ENGINE,
   type EngineParameters,
 } from "../../src/standins/engine/mod.ts";
 
-/** An upstream of a layout. */
-export type LaidUpstream = {
+/** An upstream of a fake fleet. */
+export type UpstreamLayout = {
   readonly id: string;
   readonly hall: string;
   readonly service: string;
   readonly role: "prefill" | "decode" | "plain";
   readonly engine?: Partial<EngineParameters>;
-  /** Whether it checks the fences of orders; it does unless told. */
+  /** Whether it checks the fences of orders; true by default. */
   readonly checksOrders?: boolean;
 };
 
-/** A whole layout. */
+/** The hosts and upstreams of a fake fleet. */
 export type Layout = {
   readonly hosts: readonly { readonly id: string; readonly hall: string }[];
-  readonly upstreams: readonly LaidUpstream[];
+  readonly upstreams: readonly UpstreamLayout[];
 };
 
 const REGION = "region";
 
-/** The platform's host list for a layout. */
+/** Returns the platform's host list for a layout. */
 export function listOf(layout: Layout): ListEntry[] {
-  const hosts = layout.hosts.map((one) =>
-    entry({ id: one.id, hall: one.hall, kind: "entry" })
+  const hosts = layout.hosts.map((host) =>
+    listEntry({ id: host.id, hall: host.hall, kind: "entry" })
   );
   const upstreams = layout.upstreams.map(upstreamEntry);
   return [...hosts, ...upstreams];
 }
 
-function upstreamEntry(one: LaidUpstream): ListEntry {
-  const engine = { ...DEFAULT_ENGINE, ...one.engine };
-  return entry({
-    id: one.id,
-    hall: one.hall,
+function upstreamEntry(upstream: UpstreamLayout): ListEntry {
+  const engine = { ...DEFAULT_ENGINE, ...upstream.engine };
+  return listEntry({
+    id: upstream.id,
+    hall: upstream.hall,
     kind: "upstream",
-    service: one.service,
-    checksOrders: one.checksOrders ?? true,
-    role: one.role,
+    service: upstream.service,
+    checksOrders: upstream.checksOrders ?? true,
+    role: upstream.role,
     slots: engine.slots,
     prefillRate: engine.prefillRate,
     cacheTokens: engine.cacheTokens,
   });
 }
 
-function entry(given: Partial<ListEntry>): ListEntry {
+function listEntry(values: Partial<ListEntry>): ListEntry {
   return {
     id: "",
     kind: "",
@@ -62,11 +62,14 @@
     slots: 0,
     prefillRate: 0,
     cacheTokens: 0,
-    ...given,
+    ...values,
   };
 }
 
-/** Three halls with hosts, a model split in pools, and a plain service. */
+/**
+ * Returns three halls, each with hosts, a prefill, a decode and a plain
+ * upstream.
+ */
 export function smallLayout(hostsPerHall = 1): Layout {
   const halls = ["brest", "quimper", "lorient"];
   const hosts = halls.flatMap((hall) =>
@@ -75,7 +78,7 @@
       hall,
     }))
   );
-  const upstreams = halls.flatMap((hall): LaidUpstream[] => [
+  const upstreams = halls.flatMap((hall): UpstreamLayout[] => [
     { id: `p-${hall}`, hall, service: "recap-llm", role: "prefill" },
     { id: `d-${hall}`, hall, service: "recap-llm", role: "decode" },
     { id: `api-${hall}`, hall, service: "reel-api", role: "plain" },
--- a/test/fake/network.ts
+++ b/test/fake/network.ts
@@ -1,42 +1,42 @@
-/** Which halls reach each other, and how long a message takes. */
+/** A fake network of halls with partitions and delays. */
 
-/** The platform's place in the network. */
+/** The platform's location in the network. */
 export const PLATFORM = "platform";
 
-/** One-way time within a hall, and between halls, in milliseconds. */
-const NEAR_MS = 0.3;
-const FAR_MS = 1;
+/** One-way delays. */
+const SAME_HALL_MS = 0.3;
+const OTHER_HALL_MS = 1;
 
-/** A network of halls. */
+/** The links between halls, and between halls and the platform. */
 export class Network {
   readonly #cuts = new Set<string>();
 
-  /** Cuts two places from each other. */
+  /** Cuts the link between two locations. */
   cut(a: string, b: string): void {
-    this.#cuts.add(pair(a, b));
+    this.#cuts.add(linkKey(a, b));
   }
 
-  /** Joins two places again. */
+  /** Restores the link between two locations. */
   heal(a: string, b: string): void {
-    this.#cuts.delete(pair(a, b));
+    this.#cuts.delete(linkKey(a, b));
   }
 
-  /** Joins everything again. */
+  /** Restores all links. */
   healAll(): void {
     this.#cuts.clear();
   }
 
-  /** Whether messages get from one place to the other. */
+  /** Whether messages between two locations are delivered. */
   reaches(a: string, b: string): boolean {
-    return !this.#cuts.has(pair(a, b));
+    return !this.#cuts.has(linkKey(a, b));
   }
 
-  /** One-way time. */
+  /** Returns the one-way delay in milliseconds. */
   delay(a: string, b: string): number {
-    return a === b ? NEAR_MS : FAR_MS;
+    return a === b ? SAME_HALL_MS : OTHER_HALL_MS;
   }
 }
 
-function pair(a: string, b: string): string {
+function linkKey(a: string, b: string): string {
   return [a, b].sort().join("|");
 }
--- a/test/fake/queue.ts
+++ b/test/fake/queue.ts
@@ -1,24 +1,26 @@
-/** A queue of things to do at points of virtual time. */
+/** A queue of callbacks that are due at virtual times. */
 import TinyQueue from "tinyqueue";
 
-type Item = { readonly at: number; readonly order: number; run(): void };
+type Item = { readonly at: number; readonly sequence: number; run(): void };
 
-/** Items ordered by time, then by insertion. */
+/** Items in order of time, then of insertion. */
 export class TimeQueue {
-  #items = new TinyQueue<Item>([], (a, b) => a.at - b.at || a.order - b.order);
-  #order = 0;
+  #items = new TinyQueue<Item>(
+    [],
+    (a, b) => a.at - b.at || a.sequence - b.sequence,
+  );
+  #nextSequence = 0;
 
-  /** The time of the first item. */
+  /** The time of the first item; infinite if the queue is empty. */
   get nextAt(): number {
     return this.#items.peek()?.at ?? Infinity;
   }
 
-  /** Adds an item. */
   push(at: number, run: () => void): void {
-    this.#items.push({ at, order: this.#order++, run });
+    this.#items.push({ at, sequence: this.#nextSequence++, run });
   }
 
-  /** Takes the first item. */
+  /** Removes and returns the first item. */
   pop(): Item | undefined {
     return this.#items.pop();
   }
--- a/test/fake/seed_rows.ts
+++ b/test/fake/seed_rows.ts
@@ -1,11 +1,10 @@
-/** The settings that fake fleets start with. */
+/** The initial settings of fake fleets. */
 import type { Change } from "../../src/standins/platform/model.ts";
 
-/** Models and services of the fakes. */
 const MODELS = ["recap-llm", "jazykovy-model", "paper-llm"];
 const SERVICES = ["reel-api", "podatelna"];
 
-/** A template and three customers. */
+/** Returns a template and three customers. */
 export function seedRows(): Change[] {
   return [
     row("template/basic", {
@@ -33,7 +32,7 @@
   ];
 }
 
-/** A customer's row; its key hash is its name with "-key". */
+/** Returns a customer's row, with a key hash that is derived from its name. */
 export function customer(
   name: string,
   parameters: Record<string, number | string>,
@@ -47,7 +46,10 @@
   });
 }
 
-/** A stand-in for a hash, readable in tests. */
+/**
+ * Returns a readable substitute for a key hash: the name in hexadecimal,
+ * padded.
+ */
 export function hashOf(name: string): string {
   return Array.from(name)
     .map((letter) => letter.charCodeAt(0).toString(16))
@@ -65,9 +67,9 @@
 
 function number(
   doc: string,
-  usual: number,
+  defaultValue: number,
   min: number,
   max: number,
 ): unknown {
-  return { type: "number", doc, default: usual, min, max };
+  return { type: "number", doc, default: defaultValue, min, max };
 }
--- a/test/fake/upstream.ts
+++ b/test/fake/upstream.ts
@@ -1,4 +1,4 @@
-/** A fake upstream: an engine's or a plain service's model in the fleet. */
+/** A fake upstream, which runs the model of an engine or of a plain service. */
 import type { AttemptId, CacheEvent, Event } from "../../src/core/mod.ts";
 import {
   acceptDecode,
@@ -28,9 +28,9 @@
 } from "../../src/standins/plain/model.ts";
 import type { FakeBody } from "./callers.ts";
 import type { FakeHost, Fleet } from "./fleet.ts";
-import type { LaidUpstream } from "./layout.ts";
+import type { UpstreamLayout } from "./layout.ts";
 
-/** What a decode needs beyond its attempt. */
+/** The order of a prefill or a decode. */
 export type FakeDecode = {
   readonly attempt: AttemptId;
   readonly body: string;
@@ -38,75 +38,77 @@
   readonly transfer?: string;
 };
 
-/** One upstream of a fake fleet. */
+/** An upstream of a fake fleet. */
 export class FakeUpstream {
-  readonly laid: LaidUpstream;
+  readonly laid: UpstreamLayout;
   readonly #fleet: Fleet;
   engine: Engine;
   plain: PlainService;
   alive = true;
   epoch = 1;
-  /** Cancels that get lost on their way. */
+  /** How many of the next cancels are lost. */
   loseCancels = 0;
-  /** Cache events that get lost: every nth page. */
+  /** The share of pages of cache events that lose events, from 0 to 1. */
   dropCacheShare = 0;
-  /** Hosts that read each attempt's answer. */
+  /** The host that reads the response, by attempt. */
   readonly #readers = new Map<AttemptId, string>();
-  /** Attempts that have started here over all its runs. */
+  /** How often each attempt has started, over all restarts. */
   readonly startedEver = new Map<AttemptId, number>();
-  /** Plain calls run here over all its runs, by body. */
+  /** How often each plain call has run, by text, over all restarts. */
   readonly ranEver = new Map<string, number>();
-  /** Refuses orders with a lower fence than it has seen. */
+  /** Whether orders with a lower fence than the highest so far are refused. */
   checksOrders: boolean;
-  /** Orders taken, in their order. */
+  /** Accepted orders to change the role. */
   readonly orders: { from: string; role: string; fence: number; at: number }[] =
     [];
-  /** When new work was taken. */
+  /** The times at which work was accepted. */
   readonly startTimes: number[] = [];
-  /** When the last new work was taken. */
+  /** The time at which work was last accepted. */
   lastStartAt = -Infinity;
-  #wakeAt = Infinity;
+  #nextUpdateAt = Infinity;
   #pages = 0;
 
-  constructor(fleet: Fleet, laid: LaidUpstream) {
+  constructor(fleet: Fleet, laid: UpstreamLayout) {
     this.#fleet = fleet;
     this.laid = laid;
     this.checksOrders = laid.checksOrders ?? true;
-    this.engine = this.#newEngine();
-    this.plain = this.#newPlain();
+    this.engine = this.#createEngine();
+    this.plain = this.#createPlain();
   }
 
-  #newEngine(): Engine {
+  #createEngine(): Engine {
     const parameters = { ...DEFAULT_ENGINE, ...this.laid.engine };
     return createEngine(this.laid.id, parameters, this.epoch);
   }
 
-  #newPlain(): PlainService {
+  #createPlain(): PlainService {
     const options = { slots: 8, serviceMs: 30 };
     return createPlain(this.laid.id, options, this.epoch);
   }
 
-  /** Dies: all it held is gone, and its readers see the connection break. */
+  /** Crashes: loses all state and breaks the connections of its readers. */
   die(): void {
     this.alive = false;
     for (const attempt of this.#readers.keys()) {
-      this.#tellReader(attempt, this.#failed(attempt, "broken"));
+      this.#sendToReader(attempt, this.#attemptFailed(attempt, "broken"));
     }
     this.#readers.clear();
     this.epoch += 1;
-    this.engine = this.#newEngine();
-    this.plain = this.#newPlain();
+    this.engine = this.#createEngine();
+    this.plain = this.#createPlain();
   }
 
-  /** Starts again, empty. */
+  /** Restarts with empty state. */
   restart(): void {
     if (this.alive) this.die();
     this.alive = true;
-    this.#wakeAt = Infinity;
+    this.#nextUpdateAt = Infinity;
   }
 
-  /** Takes an order to change its role; false when its fence is too low. */
-  turn(from: string, role: string, fence: number): boolean {
+  /**
+   * Handles an order to change the role; returns false if its fence is too low.
+   */
+  changeRole(from: string, role: string, fence: number): boolean {
     if (this.checksOrders && fence < this.engine.fence) return false;
     this.engine.fence = Math.max(fence, this.engine.fence);
     this.engine.role = role;
@@ -114,28 +116,28 @@
     return true;
   }
 
-  /** Every attempt that holds memory here. */
+  /** Returns the attempts that occupy memory. */
   held(): AttemptId[] {
     return this.laid.role === "plain"
       ? [
         ...this.plain.running.keys(),
-        ...this.plain.waiting.map((one) => one.attempt),
+        ...this.plain.waiting.map((call) => call.attempt),
       ]
       : held(this.engine);
   }
 
   prefill(reader: FakeHost, order: FakeDecode): void {
-    const work = this.#begin(reader, order);
+    const work = this.#startWork(reader, order);
     acceptPrefill(this.engine, work, this.#fleet.now);
-    this.touch();
+    this.update();
   }
 
   decode(reader: FakeHost, order: FakeDecode): void {
-    const work = this.#begin(reader, order);
+    const work = this.#startWork(reader, order);
     const now = this.#fleet.now;
     if (order.transfer === undefined) acceptWhole(this.engine, work, now);
     else acceptDecode(this.engine, work, JSON.parse(order.transfer), now);
-    this.touch();
+    this.update();
   }
 
   call(reader: FakeHost, attempt: AttemptId, body: string): void {
@@ -143,10 +145,10 @@
     const { text } = JSON.parse(body) as FakeBody;
     this.ranEver.set(text, (this.ranEver.get(text) ?? 0) + 1);
     acceptCall(this.plain, attempt, text, this.#fleet.now);
-    this.touch();
+    this.update();
   }
 
-  #begin(reader: FakeHost, order: FakeDecode) {
+  #startWork(reader: FakeHost, order: FakeDecode) {
     const { attempt, priority } = order;
     this.#noteStart(reader, attempt);
     const body = JSON.parse(order.body) as FakeBody;
@@ -163,8 +165,8 @@
 
   resume(reader: FakeHost, attempt: AttemptId, after: number): void {
     this.#readers.set(attempt, reader.id);
-    if (resumeDecode(this.engine, attempt, after)) return this.touch();
-    this.#tellReader(attempt, this.#failed(attempt, "gone"));
+    if (resumeDecode(this.engine, attempt, after)) return this.update();
+    this.#sendToReader(attempt, this.#attemptFailed(attempt, "gone"));
   }
 
   cancel(attempt: AttemptId): boolean {
@@ -175,7 +177,7 @@
     cancel(this.engine, attempt, this.#fleet.now);
     cancelCall(this.plain, attempt);
     this.#readers.delete(attempt);
-    this.touch();
+    this.update();
     return true;
   }
 
@@ -209,45 +211,45 @@
     return { type: "cacheEvents", upstream: this.laid.id, from, events };
   }
 
-  /** Sends a kept export to another engine. */
-  fetch(exportOf: string, engine: string, attempt: string): void {
+  /** Sends a retained export to another engine. */
+  sendExport(exportOf: string, engine: string, attempt: string): void {
     const { now } = this.#fleet;
     sendExport(this.engine, exportOf, { engine, attempt }, now);
-    this.touch();
+    this.update();
   }
 
-  /** An export has come, or can't come. */
-  fetched(attempt: string, ok: boolean): void {
+  /** Handles the end of an export's transfer. */
+  endFetch(attempt: string, ok: boolean): void {
     endFetch(this.engine, attempt, ok, this.#fleet.now);
-    this.touch();
+    this.update();
   }
 
-  /** Passes on what has happened and plans the next wake. */
-  touch(): void {
+  /** Delivers the outputs that are due and schedules the next update. */
+  update(): void {
     const { now } = this.#fleet;
-    for (const output of advance(this.engine, now)) this.#pass(output);
+    for (const output of advance(this.engine, now)) this.#handleOutput(output);
     for (const done of advancePlain(this.plain, now)) {
       const { attempt, body } = done;
       const event = { type: "plainDone", attempt, status: 200, body } as const;
-      this.#tellReader(attempt, event);
+      this.#sendToReader(attempt, event);
       this.#readers.delete(attempt);
     }
     const next = Math.min(nextAt(this.engine), nextEnd(this.plain));
-    const planned = this.#wakeAt > now && this.#wakeAt <= next;
-    if (next === Infinity || planned) return;
-    this.#wakeAt = next;
+    const isScheduled = this.#nextUpdateAt > now && this.#nextUpdateAt <= next;
+    if (next === Infinity || isScheduled) return;
+    this.#nextUpdateAt = next;
     const { epoch } = this;
     this.#fleet.queue.push(next, () => {
-      if (this.alive && this.epoch === epoch) this.touch();
+      if (this.alive && this.epoch === epoch) this.update();
     });
   }
 
-  #pass(output: Output): void {
+  #handleOutput(output: Output): void {
     const { attempt } = output;
     switch (output.type) {
       case "prefilled":
         this.#fleet.onPrefilled(attempt, output.computedTokens);
-        return this.#tellReader(attempt, {
+        return this.#sendToReader(attempt, {
           type: "prefillDone",
           attempt,
           transfer: JSON.stringify({ engine: this.laid.id, exportOf: attempt }),
@@ -255,41 +257,44 @@
           cachedTokens: output.cachedTokens,
         });
       case "chunk":
-        this.#tellReader(attempt, output);
+        this.#sendToReader(attempt, output);
         if (output.last) this.#readers.delete(attempt);
         return;
       case "failed":
-        return this.#tellReader(attempt, this.#failed(attempt, "gone"));
+        return this.#sendToReader(
+          attempt,
+          this.#attemptFailed(attempt, "gone"),
+        );
       case "fetch": {
         const source = this.#fleet.upstream(output.engine);
         const { id } = this.laid;
         const { exportOf } = output;
-        return this.#tellUpstream(source, () => {
-          if (source.alive) source.fetch(exportOf, id, attempt);
-          else this.fetched(attempt, false);
+        return this.#sendToUpstream(source, () => {
+          if (source.alive) source.sendExport(exportOf, id, attempt);
+          else this.endFetch(attempt, false);
         });
       }
       case "fetched": {
         const target = this.#fleet.upstream(output.to);
-        return this.#tellUpstream(target, () => {
-          if (target.alive) target.fetched(attempt, output.ok);
+        return this.#sendToUpstream(target, () => {
+          if (target.alive) target.endFetch(attempt, output.ok);
         });
       }
     }
   }
 
-  #failed(attempt: AttemptId, failure: "broken" | "gone"): Event {
+  #attemptFailed(attempt: AttemptId, failure: "broken" | "gone"): Event {
     const upstream = this.laid.id;
     return { type: "attemptFailed", attempt, upstream, failure };
   }
 
-  #tellUpstream(other: FakeUpstream, run: () => void): void {
+  #sendToUpstream(other: FakeUpstream, run: () => void): void {
     const { network } = this.#fleet;
     if (!network.reaches(this.laid.hall, other.laid.hall)) return;
     this.#fleet.after(network.delay(this.laid.hall, other.laid.hall), run);
   }
 
-  #tellReader(attempt: AttemptId, event: Event): void {
+  #sendToReader(attempt: AttemptId, event: Event): void {
     const reader = this.#readers.get(attempt);
     const host = reader && this.#fleet.hosts.get(reader);
     if (!host) return;
--- a/test/fake/virtual_time.ts
+++ b/test/fake/virtual_time.ts
@@ -1,13 +1,13 @@
-/** Time that passes only when a test says so. */
+/** A clock that advances only when a test requires it. */
 import type { Clock } from "../../src/gateway/clock.ts";
 import { TimeQueue } from "./queue.ts";
 
-/** Things to do at points of time, and a clock that follows them. */
+/** Virtual time: a clock and the callbacks that are scheduled on it. */
 export class VirtualTime {
   readonly #queue = new TimeQueue();
   #now = 0;
 
-  /** The clock of everything that runs in this time. */
+  /** The clock for code under test. */
   readonly clock: Clock = {
     now: () => this.#now,
     after: (delayMs, work) => this.at(this.#now + Math.max(0, delayMs), work),
@@ -17,21 +17,21 @@
     return this.#now;
   }
 
-  /** Does something at a time; the result cancels it. */
+  /** Schedules `run` at a time; the result cancels it. */
   at(time: number, run: () => void): () => void {
-    let isDue = true;
-    this.#queue.push(time, () => isDue && run());
-    return () => isDue = false;
+    let isPending = true;
+    this.#queue.push(time, () => isPending && run());
+    return () => isPending = false;
   }
 
-  /** Goes on to a time. */
+  /** Advances to a time and runs the callbacks that are due. */
   async runTo(time: number): Promise<void> {
     while (this.#queue.nextAt <= time) {
       const item = this.#queue.pop();
       if (!item) break;
       this.#now = item.at;
       item.run();
-      // Lets promises that were resolved take all their next steps.
+      // Runs the continuations of resolved promises.
       await new Promise((resolve) => setImmediate(resolve));
     }
     this.#now = time;
