--- a/test/process/client_test.ts
+++ b/test/process/client_test.ts
@@ -1,14 +1,14 @@
-/** An official OpenAI client as a caller. */
+/** Tests the gateway with the official OpenAI client. */
 import { after, before, test } from "node:test";
 import assert from "node:assert/strict";
 import OpenAI from "openai";
 import { API_KEY, eventually, Processes } from "./processes.ts";
 
 const fleet = new Processes();
-const LIMIT = { timeout: 60_000 };
+const TIMEOUT = { timeout: 60_000 };
 
-before(() => fleet.startFleet(), LIMIT);
-after(() => fleet.stop(), LIMIT);
+before(() => fleet.startFleet(), TIMEOUT);
+after(() => fleet.stop(), TIMEOUT);
 
 function client(retries: number): OpenAI {
   return new OpenAI({
@@ -20,7 +20,7 @@
 
 const MESSAGES = [{ role: "user" as const, content: "Sum up the match" }];
 
-test("it streams a chat to its end", LIMIT, async () => {
+test("streams a chat completion to its end", TIMEOUT, async () => {
   const stream = await client(0).chat.completions.create({
     model: "recap-llm",
     messages: MESSAGES,
@@ -38,49 +38,59 @@
   assert.equal(finish, "length");
 });
 
-test("it gets a whole chat with its usage", LIMIT, async () => {
-  const answer = await client(0).chat.completions.create({
+test("returns a complete chat completion with its usage", TIMEOUT, async () => {
+  const response = await client(0).chat.completions.create({
     model: "recap-llm",
     messages: MESSAGES,
     max_tokens: 7,
   });
-  assert.equal(answer.usage?.completion_tokens, 7);
-  assert.match(answer.choices[0]?.message.content ?? "", /\.6~\w+ $/);
+  assert.equal(response.usage?.completion_tokens, 7);
+  assert.match(response.choices[0]?.message.content ?? "", /\.6~\w+ $/);
 });
 
-test("it cancels a stream and nothing stays held", LIMIT, async () => {
-  const stream = await client(0).chat.completions.create({
-    model: "recap-llm",
-    messages: MESSAGES,
-    max_tokens: 4000,
-    stream: true,
-  });
-  const chunks = stream[Symbol.asyncIterator]();
-  await chunks.next();
-  stream.controller.abort();
-  await eventually(async () => (await fleet.held()).length === 0);
-});
+test(
+  "releases all upstream resources when the client cancels a stream",
+  TIMEOUT,
+  async () => {
+    const stream = await client(0).chat.completions.create({
+      model: "recap-llm",
+      messages: MESSAGES,
+      max_tokens: 4000,
+      stream: true,
+    });
+    const chunks = stream[Symbol.asyncIterator]();
+    await chunks.next();
+    stream.controller.abort();
+    await eventually(async () => (await fleet.heldAttempts()).length === 0);
+  },
+);
 
-test("it meets a refusal with a time and comes back", LIMIT, async () => {
-  const names = ["brest", "quimper", "lorient"].map((hall) => `decode-${hall}`);
-  const tell = (drain: boolean) =>
-    Promise.all(names.map((name) => {
-      const address = fleet.programs.get(name)?.addresses["address"];
-      const url = `http://${address}/v1/orders`;
-      const body = JSON.stringify({ fence: 1, drain });
-      return fetch(url, { method: "POST", body });
-    }));
-  await tell(true);
-  await eventually(async () => {
-    const answer = await fleet.complete("brest", { max_tokens: 1 });
-    await answer.text();
-    return answer.status === 503 && answer.headers.has("retry-after");
-  });
-  const coming = client(5).chat.completions.create({
-    model: "recap-llm",
-    messages: MESSAGES,
-    max_tokens: 2,
-  });
-  await tell(false);
-  assert.equal((await coming).usage?.completion_tokens, 2);
-});
+test(
+  "the client retries after a refusal with a retry-after header",
+  TIMEOUT,
+  async () => {
+    const names = ["brest", "quimper", "lorient"].map((hall) =>
+      `decode-${hall}`
+    );
+    const setDraining = (drain: boolean) =>
+      Promise.all(names.map((name) => {
+        const address = fleet.programs.get(name)?.addresses["address"];
+        const url = `http://${address}/v1/orders`;
+        const body = JSON.stringify({ fence: 1, drain });
+        return fetch(url, { method: "POST", body });
+      }));
+    await setDraining(true);
+    await eventually(async () => {
+      const response = await fleet.complete("brest", { max_tokens: 1 });
+      await response.text();
+      return response.status === 503 && response.headers.has("retry-after");
+    });
+    const pending = client(5).chat.completions.create({
+      model: "recap-llm",
+      messages: MESSAGES,
+      max_tokens: 2,
+    });
+    await setDraining(false);
+    assert.equal((await pending).usage?.completion_tokens, 2);
+  },
+);
--- a/test/process/fleet_test.ts
+++ b/test/process/fleet_test.ts
@@ -1,125 +1,140 @@
-/** The programs as processes: served, refused, cancelled, killed, frozen. */
+/**
+ * Tests the programs as processes: responses, refusals, cancels, crashes and
+ * suspension.
+ */
 import { after, before, test } from "node:test";
 import assert from "node:assert/strict";
 import { API_KEY, eventually, HALLS, Processes } from "./processes.ts";
 
 const fleet = new Processes();
-const LIMIT = { timeout: 60_000 };
+const TIMEOUT = { timeout: 60_000 };
 
-before(() => fleet.startFleet(), LIMIT);
-after(() => fleet.stop(), LIMIT);
+before(() => fleet.startFleet(), TIMEOUT);
+after(() => fleet.stop(), TIMEOUT);
 
 for (const hall of HALLS) {
-  test(`${hall} serves a streamed and a whole request`, LIMIT, async () => {
-    const streamed = await fleet.complete(hall, {
-      stream: true,
-      max_tokens: 12,
-    });
-    const text = await streamed.text();
-    const events = text.split("\n\n").filter((one) => one.length > 0);
-    assert.equal(streamed.headers.get("content-type"), "text/event-stream");
-    assert.equal(events.length, 14);
-    assert.equal(events.at(-1), "data: [DONE]");
+  test(
+    `${hall} serves a streaming and a non-streaming request`,
+    TIMEOUT,
+    async () => {
+      const streamed = await fleet.complete(hall, {
+        stream: true,
+        max_tokens: 12,
+      });
+      const text = await streamed.text();
+      const events = text.split("\n\n").filter((event) => event.length > 0);
+      assert.equal(streamed.headers.get("content-type"), "text/event-stream");
+      assert.equal(events.length, 14);
+      assert.equal(events.at(-1), "data: [DONE]");
 
-    const whole = await fleet.complete(hall, {
-      max_tokens: 12,
-      prompt: "minute 1. ".repeat(900),
-    });
-    const answer = await whole.json() as {
-      choices: { text: string }[];
-      usage: { completion_tokens: number };
-    };
-    assert.equal(whole.status, 200);
-    assert.equal(answer.usage.completion_tokens, 12);
-    assert.match(answer.choices[0]?.text ?? "", /\.11~\w+ $/);
-  });
+      const complete = await fleet.complete(hall, {
+        max_tokens: 12,
+        prompt: "minute 1. ".repeat(900),
+      });
+      const response = await complete.json() as {
+        choices: { text: string }[];
+        usage: { completion_tokens: number };
+      };
+      assert.equal(complete.status, 200);
+      assert.equal(response.usage.completion_tokens, 12);
+      assert.match(response.choices[0]?.text ?? "", /\.11~\w+ $/);
+    },
+  );
 }
 
-type ErrorAnswer = {
+type ErrorBody = {
   error: { code: string; ran: string; message: string };
 };
 
-async function refusal(answer: Response) {
-  const { error } = await answer.json() as ErrorAnswer;
-  return { status: answer.status, code: error.code, ran: error.ran };
+async function readError(response: Response) {
+  const { error } = await response.json() as ErrorBody;
+  return { status: response.status, code: error.code, ran: error.ran };
 }
 
-test("faulty requests get a clear answer", LIMIT, async () => {
-  const at = `http://${fleet.callers("brest")}/v1/completions`;
+test("invalid requests get specific errors", TIMEOUT, async () => {
+  const url = `http://${fleet.callers("brest")}/v1/completions`;
   const headers = { authorization: `Bearer ${API_KEY}` };
-  const badJson = await fetch(at, { method: "POST", headers, body: "{" });
+  const badJson = await fetch(url, { method: "POST", headers, body: "{" });
   const ran = "not run";
-  assert.deepEqual(await refusal(badJson), {
+  assert.deepEqual(await readError(badJson), {
     status: 400,
     code: "bad_request",
     ran,
   });
   const model = await fleet.complete("brest", { model: "nothing" });
-  assert.deepEqual(await refusal(model), {
+  assert.deepEqual(await readError(model), {
     status: 404,
     code: "unknown_model",
     ran,
   });
   const key = await fleet.complete("brest", {}, { authorization: "Bearer x" });
-  assert.deepEqual(await refusal(key), {
+  assert.deepEqual(await readError(key), {
     status: 401,
     code: "unknown_key",
     ran,
   });
   const large = await fleet.complete("brest", { prompt: "x".repeat(70_000) });
-  assert.deepEqual(await refusal(large), {
+  assert.deepEqual(await readError(large), {
     status: 413,
     code: "body_too_large",
     ran,
   });
 });
 
-test("models are listed for a key", LIMIT, async () => {
-  const answer = await fetch(`http://${fleet.callers("brest")}/v1/models`, {
+test("lists the models of a key", TIMEOUT, async () => {
+  const response = await fetch(`http://${fleet.callers("brest")}/v1/models`, {
     headers: { authorization: `Bearer ${API_KEY}` },
   });
-  const { data } = await answer.json() as { data: { id: string }[] };
-  assert.deepEqual(data.map((one) => one.id), ["recap-llm"]);
+  const { data } = await response.json() as { data: { id: string }[] };
+  assert.deepEqual(data.map((model) => model.id), ["recap-llm"]);
 });
 
-test("a caller that vanishes leaves nothing held", LIMIT, async () => {
-  const gone = new AbortController();
-  const body = { stream: true, max_tokens: 5000 };
-  const answer = await fleet.complete("brest", body, {}, gone.signal);
-  const reader = answer.body?.getReader();
-  await reader?.read();
-  assert.equal((await fleet.held()).length, 1);
-  gone.abort();
-  await eventually(async () => (await fleet.held()).length === 0);
-});
+test(
+  "releases all upstream resources when a caller disconnects",
+  TIMEOUT,
+  async () => {
+    const caller = new AbortController();
+    const body = { stream: true, max_tokens: 5000 };
+    const response = await fleet.complete("brest", body, {}, caller.signal);
+    const reader = response.body?.getReader();
+    await reader?.read();
+    assert.equal((await fleet.heldAttempts()).length, 1);
+    caller.abort();
+    await eventually(async () => (await fleet.heldAttempts()).length === 0);
+  },
+);
 
-test("a filing runs once over retries and a lost answer", LIMIT, async () => {
-  await fleet.post("/faults", { lose_writes: 1 });
-  const file = (hall: string) =>
-    fetch(`http://${fleet.callers(hall)}/plain/reel-api/file`, {
-      method: "POST",
-      headers: {
-        authorization: `Bearer ${API_KEY}`,
-        "idempotency-key": "objection-1",
-        "x-otterhill-once": "true",
-      },
-      body: "objection 1",
+test(
+  "a run-once request runs once despite a retry and a lost response",
+  TIMEOUT,
+  async () => {
+    await fleet.post("/faults", { lose_writes: 1 });
+    const file = (hall: string) =>
+      fetch(`http://${fleet.callers(hall)}/plain/reel-api/file`, {
+        method: "POST",
+        headers: {
+          authorization: `Bearer ${API_KEY}`,
+          "idempotency-key": "objection-1",
+          "x-otterhill-once": "true",
+        },
+        body: "objection 1",
+      });
+    const first = await file("brest");
+    assert.equal(first.status, 200);
+    await first.text();
+    const second = await file("lorient");
+    assert.deepEqual(await readError(second), {
+      status: 409,
+      code: "claim_taken",
+      ran: "unknown",
     });
-  const first = await file("brest");
-  assert.equal(first.status, 200);
-  await first.text();
-  const second = await file("lorient");
-  assert.deepEqual(await refusal(second), {
-    status: 409,
-    code: "claim_taken",
-    ran: "unknown",
-  });
-});
+  },
+);
 
-test("a killed host's requests are freed by its peers", LIMIT, async () => {
+test("peers release the requests of a killed host", TIMEOUT, async () => {
   const body = { stream: true, max_tokens: 5000 };
-  const answer = await fleet.complete("quimper", body);
-  const reader = answer.body?.getReader();
+  const response = await fleet.complete("quimper", body);
+  const reader = response.body?.getReader();
   await reader?.read();
   fleet.programs.get("quimper-1")?.child.kill("SIGKILL");
   await assert.rejects(async () => {
@@ -128,34 +143,34 @@
       if (!part || part.done) throw new Error("ended");
     }
   });
-  await eventually(async () => (await fleet.held()).length === 0);
+  await eventually(async () => (await fleet.heldAttempts()).length === 0);
   const other = await fleet.complete("brest", { max_tokens: 2 });
   assert.equal(other.status, 200);
 });
 
 test(
-  "a frozen host's requests are freed; it wakes unharmed",
-  LIMIT,
+  "peers release the requests of a suspended host, which serves after it resumes",
+  TIMEOUT,
   async () => {
     const host = fleet.programs.get("lorient-1")?.child;
     const body = { stream: true, max_tokens: 3000 };
-    const answer = await fleet.complete("lorient", body);
-    const reader = answer.body?.getReader();
+    const response = await fleet.complete("lorient", body);
+    const reader = response.body?.getReader();
     await reader?.read();
     host?.kill("SIGSTOP");
-    await eventually(async () => (await fleet.held()).length === 0);
+    await eventually(async () => (await fleet.heldAttempts()).length === 0);
     host?.kill("SIGCONT");
     await reader?.cancel();
-    await fleet.ready("lorient");
+    await fleet.waitUntilReady("lorient");
   },
 );
 
-test("on SIGTERM a host finishes what it has and ends", LIMIT, async () => {
-  const answer = await fleet.complete("lorient", {
+test("on SIGTERM a host finishes its requests and exits", TIMEOUT, async () => {
+  const response = await fleet.complete("lorient", {
     stream: true,
     max_tokens: 150,
   });
-  const reader = answer.body?.getReader();
+  const reader = response.body?.getReader();
   await reader?.read();
   const host = fleet.programs.get("lorient-1");
   host?.child.kill("SIGTERM");
--- a/test/process/processes.ts
+++ b/test/process/processes.ts
@@ -1,20 +1,21 @@
-/** Starts otterhill's programs as processes on loopback, ports free. */
+/** Starts otterhill's programs as processes on free loopback ports. */
 import { type ChildProcess, spawn } from "node:child_process";
 import { mkdtempSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 import { sha256 } from "../../src/util/sha256.ts";
 
-/** One started program. */
+/** A started program. */
 export type Program = {
   readonly child: ChildProcess;
-  /** What it printed first: its addresses. */
+  /** The addresses that the program prints on its first line. */
   readonly addresses: Readonly<Record<string, string>>;
   readonly exited: Promise<number | null>;
 };
 
-/** The key of the test customer, and the halls of the test fleet. */
+/** The API key of the test customer. */
 export const API_KEY = "test-key";
+/** The halls of the test fleet. */
 export const HALLS = ["brest", "quimper", "lorient"] as const;
 
 /** A fleet of processes. */
@@ -24,7 +25,7 @@
   readonly #entries: object[] = [];
   #platform = "";
 
-  /** Starts a program with a settings text. */
+  /** Starts a program with the given settings. */
   async start(
     name: string,
     program: string,
@@ -51,7 +52,7 @@
     return started;
   }
 
-  /** Starts platform, upstreams and one entry host in each hall. */
+  /** Starts the platform, the upstreams and one entry host in each hall. */
   async startFleet(): Promise<void> {
     const platform = await this.start(
       "platform",
@@ -63,7 +64,7 @@
     for (const hall of HALLS) await this.#startHall(hall);
     await this.post("/hosts", { hosts: this.#entries });
     await this.post("/table", { changes: settingsRows() });
-    for (const hall of HALLS) await this.ready(hall);
+    for (const hall of HALLS) await this.waitUntilReady(hall);
   }
 
   async #startHall(hall: string): Promise<void> {
@@ -74,61 +75,61 @@
       const { addresses } = await this.start(id, "standin", [kind], text);
       const service = role === "plain" ? "reel-api" : "recap-llm";
       const address = addresses["address"];
-      const place = { hall, region: "bzh-west", address };
-      this.#entries.push({ id, kind: "upstream", ...place, service, role });
+      const location = { hall, region: "bzh-west", address };
+      this.#entries.push({ id, kind: "upstream", ...location, service, role });
     }
     await this.startHost(hall);
   }
 
-  /** Starts a hall's entry host and lists it. */
+  /** Starts a hall's entry host and records its list entry. */
   async startHost(hall: string): Promise<Program> {
     const id = `${hall}-1`;
     const { addresses, ...rest } = await this.start(
       id,
       "router",
       [],
-      routerText(id, hall, this.#platform),
+      routerSettings(id, hall, this.#platform),
     );
     const address = addresses["peers"];
-    const place = { hall, region: "bzh-west", address };
-    this.#entries.push({ id, kind: "entry", ...place });
+    const location = { hall, region: "bzh-west", address };
+    this.#entries.push({ id, kind: "entry", ...location });
     return { addresses, ...rest };
   }
 
-  /** Calls the platform. */
+  /** Sends a POST request to the platform. */
   async post(path: string, body: unknown): Promise<void> {
-    const answer = await fetch(`http://${this.#platform}${path}`, {
+    const response = await fetch(`http://${this.#platform}${path}`, {
       method: "POST",
       body: JSON.stringify(body),
     });
-    if (!answer.ok) throw new Error(`${path}: ${await answer.text()}`);
+    if (!response.ok) throw new Error(`${path}: ${await response.text()}`);
   }
 
-  /** Where the platform is. */
+  /** The address of the platform. */
   get platform(): string {
     return this.#platform;
   }
 
-  /** Where callers reach a hall's entry host. */
+  /** Returns the caller address of a hall's entry host. */
   callers(hall: string): string {
     return this.programs.get(`${hall}-1`)?.addresses["callers"] ?? "";
   }
 
-  /** Where peers and operators reach a hall's entry host. */
+  /** Returns the address of a hall's entry host for peers and operators. */
   peers(hall: string): string {
     return this.programs.get(`${hall}-1`)?.addresses["peers"] ?? "";
   }
 
-  /** Waits until an entry host serves a first request. */
-  async ready(hall: string): Promise<void> {
+  /** Waits until a hall's entry host serves a request. */
+  async waitUntilReady(hall: string): Promise<void> {
     await eventually(async () => {
-      const answer = await this.complete(hall, { max_tokens: 1 });
-      await answer.text();
-      return answer.status === 200;
+      const response = await this.complete(hall, { max_tokens: 1 });
+      await response.text();
+      return response.status === 200;
     });
   }
 
-  /** Sends a completion to a hall's entry host. */
+  /** Sends a completion request to a hall's entry host. */
   complete(
     hall: string,
     body: object,
@@ -143,20 +144,20 @@
     });
   }
 
-  /** Attempts that all upstreams hold. */
-  async held(): Promise<string[]> {
-    const all: string[] = [];
+  /** Returns the attempts that occupy memory at upstreams. */
+  async heldAttempts(): Promise<string[]> {
+    const attempts: string[] = [];
     for (const [name, program] of this.programs) {
       if (!/^(prefill|decode|plain)-/.test(name)) continue;
       const url = `http://${program.addresses["address"]}/v1/requests`;
-      const answer = await fetch(url);
-      const { requests } = await answer.json() as { requests: string[] };
-      all.push(...requests);
+      const response = await fetch(url);
+      const { requests } = await response.json() as { requests: string[] };
+      attempts.push(...requests);
     }
-    return all;
+    return attempts;
   }
 
-  /** Ends all processes that this fleet started. */
+  /** Kills all processes of this fleet and removes their files. */
   async stop(): Promise<void> {
     for (const { child } of this.programs.values()) child.kill("SIGKILL");
     for (const { exited } of this.programs.values()) await exited;
@@ -164,7 +165,7 @@
   }
 }
 
-/** Tries until it is true; the runner's own limit ends it otherwise. */
+/** Polls until `test` returns true; the test's timeout limits the wait. */
 export async function eventually(
   test: () => Promise<boolean>,
 ): Promise<void> {
@@ -181,11 +182,15 @@
       const end = text.indexOf("\n");
       if (end >= 0) resolve(text.slice(0, end));
     });
-    child.on("exit", (code) => reject(new Error(`ended with ${code}`)));
+    child.on(
+      "exit",
+      (code) =>
+        reject(new Error(`exited with code ${code} before its first line`)),
+    );
   });
 }
 
-function routerText(id: string, hall: string, platform: string): string {
+function routerSettings(id: string, hall: string, platform: string): string {
   return `
 [host]
 id = "${id}"
