--- a/bench/capacity/main.ts
+++ b/bench/capacity/main.ts
@@ -1,6 +1,6 @@
 /**
- * Writes the tables of docs/CAPACITY.md anew from journal entries of sweeps:
- * `npm run bench:capacity -- journal/ENTRY.json...`. The table of a site stands
+ * Regenerates the tables of docs/CAPACITY.md from journal entries of sweeps:
+ * `npm run bench:capacity -- journal/ENTRY.json...`. The table of a site is
  * between `<!-- sweep SITE -->` and `<!-- end -->`.
  */
 import { readFileSync, writeFileSync } from "node:fs";
@@ -8,7 +8,7 @@
 import { readSweep, tableOf } from "./sweep.ts";
 
 const PAGE = "docs/CAPACITY.md";
-/** The two-year size. */
+/** The number of hosts of the target size. */
 const HOSTS = 330;
 
 const Entry = z.object({
@@ -26,7 +26,9 @@
   const start = `<!-- sweep ${site} -->`;
   const from = page.indexOf(start);
   const to = page.indexOf("<!-- end -->", from);
-  if (from < 0 || to < 0) throw new Error(`No place for "${site}" in ${PAGE}`);
+  if (from < 0 || to < 0) {
+    throw new Error(`No table of site "${site}" in ${PAGE}`);
+  }
   const source = `Middle / busiest host; journal ${id}, code of ${
     head.slice(0, 7)
   }.`;
--- a/bench/capacity/sweep.ts
+++ b/bench/capacity/sweep.ts
@@ -1,22 +1,25 @@
-/** Reads the load of hosts by their number from the printed table of a sweep. */
+/** Parses the printed table of a sweep over numbers of hosts. */
 
-/** One quantity over the sizes of a sweep. */
+/** A quantity at each size of a sweep. */
 export type SweepRow = {
   readonly name: string;
-  /** The middle and the busiest host (or the longest time), by size. */
+  /** The median and the busiest host (or the longest time), by size. */
   readonly cells: readonly SweepCell[];
-  /** The busiest grows as the number of hosts to this power. */
+  /**
+   * The exponent with which the busiest host's value grows over the number of
+   * hosts.
+   */
   readonly power: number;
 };
 
 /** A quantity at one size. */
 export type SweepCell = { readonly middle: number; readonly most: number };
 
-/** A sweep as it was printed. */
+/** A parsed sweep. */
 export type Sweep = {
   readonly sizes: readonly number[];
   readonly rows: readonly SweepRow[];
-  /** What each size was worth, and the rules that it broke. */
+  /** The score and the violated rules of each size. */
   readonly days: readonly {
     readonly name: string;
     readonly worth: number;
@@ -24,24 +27,24 @@
   }[];
 };
 
-const DAY =
+const WORKLOAD =
   /^(sweep-\d+)\s+\S+\s+\S+\s+([\d.]+)\s.*?(?:BROKEN: (.*?))?(?: \(else.*)?$/;
 const ROW = /^(.+?)\s{2,}((?:[\d.]+ \/ [\d.]+\s*)+)\s([\d.]+)\s+\S+$/;
 
-/** Reads a printed table; fails where it has no sizes. */
+/** Parses a printed table; throws if it has no line of sizes. */
 export function readSweep(text: string): Sweep {
   const lines = text.split("\n");
   const head = lines.find((line) => /^\s+\d+(\s+\d+)*\s+power/.test(line));
-  if (head === undefined) throw new Error("No sizes in the table of a sweep");
+  if (head === undefined) throw new Error("Sweep table has no line of sizes");
   const sizes = (head.split("power")[0] ?? "").trim().split(/\s+/).map(Number);
   return {
     sizes,
-    rows: lines.flatMap((line) => rowOf(line)),
-    days: lines.flatMap((line) => dayOf(line)),
+    rows: lines.flatMap((line) => parseRow(line)),
+    days: lines.flatMap((line) => parseWorkload(line)),
   };
 }
 
-function rowOf(line: string): SweepRow[] {
+function parseRow(line: string): SweepRow[] {
   const [, name, text, power] = ROW.exec(line) ?? [];
   if (name === undefined || text === undefined) return [];
   const cells = [...text.matchAll(/([\d.]+) \/ ([\d.]+)/g)].map((cell) => ({
@@ -51,12 +54,12 @@
   return [{ name: name.replace(/^\w+: /, ""), cells, power: Number(power) }];
 }
 
-function dayOf(line: string): Sweep["days"][number][] {
-  const [, name, worth, broken = ""] = DAY.exec(line) ?? [];
+function parseWorkload(line: string): Sweep["days"][number][] {
+  const [, name, worth, broken = ""] = WORKLOAD.exec(line) ?? [];
   return name === undefined ? [] : [{ name, worth: Number(worth), broken }];
 }
 
-/** The busiest host's figure at another number of hosts, by the row's power. */
+/** Extrapolates the busiest host's value to another number of hosts. */
 export function carriedTo(
   hosts: number,
   { cells, power }: SweepRow,
@@ -66,7 +69,7 @@
   return most * (hosts / (sizes.at(-1) ?? hosts)) ** power;
 }
 
-/** The table in Markdown. */
+/** Formats a sweep as a Markdown table. */
 export function tableOf(sweep: Sweep, hosts: number): string {
   const { sizes, rows, days } = sweep;
   const head = ["", ...sizes.map(String), "power", `busiest at ${hosts}`];
--- a/bench/core/gossip.ts
+++ b/bench/core/gossip.ts
@@ -1,24 +1,24 @@
-/** How old heartbeats get in a region, and what the gossip costs. */
+/** Measures the age of heartbeats in a region and the traffic of gossip. */
 import { EnvelopeCodec } from "../../src/core/mod.ts";
 import { Fleet } from "../../test/fake/fleet.ts";
 
-/** What a gossip came to. */
+/** The result of {@link measureGossip}. */
 export type GossipResult = {
   readonly hosts: number;
   readonly fanout: number;
-  /** Age of the oldest heartbeat that any host had of any other. */
+  /** The age of the oldest heartbeat that any host had of another. */
   readonly oldestMs: number;
-  /** Sent by one host, without calls' own overhead. */
+  /** Sent by one host, without the overhead of RPC calls. */
   readonly bytesPerSecond: number;
   readonly messagesPerSecond: number;
 };
 
-const FROM_MS = 15_000;
-const SPAN_MS = 20_000;
-const LOOK_MS = 250;
+const WARM_UP_MS = 15_000;
+const MEASURED_MS = 20_000;
+const SAMPLE_INTERVAL_MS = 250;
 
-/** Runs a region that does nothing but gossip. */
-export function tryGossip(hosts: number, fanout: number): GossipResult {
+/** Runs a region whose hosts only gossip. */
+export function measureGossip(hosts: number, fanout: number): GossipResult {
   const layout = {
     hosts: Array.from(
       { length: hosts },
@@ -31,14 +31,18 @@
   let bytes = 0;
   let messages = 0;
   fleet.onOrder = (host, order) => {
-    if (fleet.now < FROM_MS || order.type !== "tell") return;
+    if (fleet.now < WARM_UP_MS || order.type !== "tell") return;
     const { id, incarnation } = host.world.self;
     const envelope = { from: id, incarnation, messages: [order.message] };
     bytes += EnvelopeCodec.encode(envelope).finish().length;
     messages += 1;
   };
   let oldestMs = 0;
-  for (let at = FROM_MS; at <= FROM_MS + SPAN_MS; at += LOOK_MS) {
+  for (
+    let at = WARM_UP_MS;
+    at <= WARM_UP_MS + MEASURED_MS;
+    at += SAMPLE_INTERVAL_MS
+  ) {
     fleet.runUntil(at);
     for (const { world } of fleet.hosts.values()) {
       for (const host of world.hosts.values()) {
@@ -47,7 +51,7 @@
       }
     }
   }
-  const perHost = hosts * SPAN_MS / 1000;
+  const perHost = hosts * MEASURED_MS / 1000;
   return {
     hosts,
     fanout,
--- a/bench/core/measure.ts
+++ b/bench/core/measure.ts
@@ -1,12 +1,12 @@
-/** Timing and memory of pieces of the core. */
+/** Helpers that measure run time and heap use, and fit lines. */
 
-/** Runs before the clock counts, so that the code is compiled. */
-const WARM_RUNS = 3000;
+/** Runs before the measurement, so that the code is compiled. */
+const WARM_UP_RUNS = 3000;
 
-/** Median time of a run in microseconds, over batches. */
-export function microseconds(run: () => void, batch: number): number {
+/** Returns the median over batches of the mean run time, in microseconds. */
+export function medianMicroseconds(run: () => void, batch: number): number {
   const times: number[] = [];
-  for (let n = 0; n < WARM_RUNS; n += 1) run();
+  for (let n = 0; n < WARM_UP_RUNS; n += 1) run();
   for (let round = 0; round < 15; round += 1) {
     const start = performance.now();
     for (let n = 0; n < batch; n += 1) run();
@@ -16,37 +16,37 @@
   return times[Math.floor(times.length / 2)] ?? 0;
 }
 
-/** Heap that a value takes, in bytes. */
-export function heapOf(make: () => unknown): number {
+/** Returns the heap size of a value in bytes. */
+export function measureHeap(make: () => unknown): number {
   const collect = globalThis.gc ?? (() => undefined);
   collect();
   const before = process.memoryUsage().heapUsed;
-  const kept = make();
+  const value = make();
   collect();
   const after = process.memoryUsage().heapUsed;
-  return kept === undefined ? 0 : after - before;
+  return value === undefined ? 0 : after - before;
 }
 
-/** A point of a measured line. */
+/** A measured point. */
 export type Point = { readonly x: number; readonly y: number };
 
-/** A line through points: y = base + slope * x. */
+/** The line y = base + slope * x. */
 export type Line = { readonly base: number; readonly slope: number };
 
-/** Least squares. */
+/** Fits a line by least squares. */
 export function fitLine(points: readonly Point[]): Line {
   const n = points.length;
-  const sum = (value: (one: Point) => number): number =>
-    points.reduce((total, one) => total + value(one), 0);
-  const sx = sum((one) => one.x);
-  const sy = sum((one) => one.y);
-  const sxx = sum((one) => one.x * one.x);
-  const sxy = sum((one) => one.x * one.y);
+  const sum = (value: (point: Point) => number): number =>
+    points.reduce((total, point) => total + value(point), 0);
+  const sx = sum((point) => point.x);
+  const sy = sum((point) => point.y);
+  const sxx = sum((point) => point.x * point.x);
+  const sxy = sum((point) => point.x * point.y);
   const slope = (n * sxy - sx * sy) / (n * sxx - sx * sx);
   return { base: (sy - slope * sx) / n, slope };
 }
 
-/** The line's value. */
-export function at(line: Line, x: number): number {
+/** Returns the value of a line at x. */
+export function valueAt(line: Line, x: number): number {
   return line.base + line.slope * x;
 }
--- a/bench/core/slopes.ts
+++ b/bench/core/slopes.ts
@@ -1,24 +1,26 @@
-/** The measured slopes: time, memory and bytes as sizes grow. */
+/**
+ * Measures how time, memory and message sizes grow with the size of a fleet.
+ */
 import { EnvelopeCodec, type Event, step } from "../../src/core/mod.ts";
 import { customer } from "../../test/fake/seed_rows.ts";
 import {
   fitLine,
-  heapOf,
   type Line,
-  microseconds,
+  measureHeap,
+  medianMicroseconds,
   type Point,
 } from "./measure.ts";
 import {
+  createWorldOfSize,
   entriesOf,
-  fromPeer,
-  heartbeats,
-  reports,
-  sampleAsk,
+  gossipMessage,
+  loadReports,
+  peerEvent,
+  samplePlanRequest,
   type Size,
-  worldOf,
 } from "./worlds.ts";
 
-/** One measured quantity over one size. */
+/** A quantity measured over one size parameter. */
 export type Slope = {
   readonly name: string;
   readonly unit: string;
@@ -27,7 +29,7 @@
   readonly line: Line;
 };
 
-function slope(
+function measureSlope(
   name: string,
   unit: string,
   over: string,
@@ -40,50 +42,56 @@
 
 const SMALL: Size = { hosts: 9, upstreams: 24, perService: 8 };
 
-/** A decision: an ask is taken, placed, granted and ended. */
-function decision(perService: number): number {
-  const world = worldOf({ ...SMALL, upstreams: 2 * perService, perService });
-  step(world, reports(world, "model-0"), 10);
+/**
+ * Measures one placement: a plan request is queued, placed, granted and ended.
+ */
+function measurePlacement(perService: number): number {
+  const world = createWorldOfSize({
+    ...SMALL,
+    upstreams: 2 * perService,
+    perService,
+  });
+  step(world, loadReports(world, "model-0"), 10);
   let number = 0;
-  return microseconds(() => {
+  return medianMicroseconds(() => {
     number += 1;
     const request = `host-1/1/${number}`;
-    const ask = sampleAsk(request, "model-0");
-    step(world, [fromPeer("host-1", ask)], 20);
+    const planRequest = samplePlanRequest(request, "model-0");
+    step(world, [peerEvent("host-1", planRequest)], 20);
     const ended = { request, stage: "ended", failedUpstream: "" };
     const end = { kind: { $case: "planProgress" as const, value: ended } };
-    step(world, [fromPeer("host-1", end)], 20);
+    step(world, [peerEvent("host-1", end)], 20);
   }, 200);
 }
 
-/** A tick of a host that does nothing else. */
-function idleTick(size: Size): number {
-  const world = worldOf(size);
+/** Measures a tick of an idle host. */
+function measureIdleTick(size: Size): number {
+  const world = createWorldOfSize(size);
   let now = 100;
-  return microseconds(() => {
+  return medianMicroseconds(() => {
     now += 20;
     step(world, [{ type: "tick" }], now);
   }, 200);
 }
 
-/** A peer's digest is read. */
-function readGossip(hosts: number): number {
+/** Measures the handling of a peer's digest. */
+function measureGossipReceipt(hosts: number): number {
   const size = { ...SMALL, hosts };
-  const world = worldOf(size);
+  const world = createWorldOfSize(size);
   let counter = 1;
-  return microseconds(() => {
+  return medianMicroseconds(() => {
     counter += 1;
-    step(world, [fromPeer("host-1", heartbeats(size, counter))], 50);
+    step(world, [peerEvent("host-1", gossipMessage(size, counter))], 50);
   }, 100);
 }
 
-/** A chunk of an answer is passed on. */
-function passChunk(requests: number): number {
-  const world = worldOf(SMALL);
-  step(world, reports(world, "model-0"), 10);
+/** Measures the forwarding of one chunk of a response. */
+function measureChunk(requests: number): number {
+  const world = createWorldOfSize(SMALL);
+  step(world, loadReports(world, "model-0"), 10);
   for (let n = 1; n <= requests; n += 1) openStream(world, n);
   let index = 0;
-  return microseconds(() => {
+  return medianMicroseconds(() => {
     for (let n = 1; n <= requests; n += 1) {
       const attempt = `host-0/1/${n}/1`;
       const chunk = { attempt, index, tokens: 1, text: "word ", last: false };
@@ -93,11 +101,14 @@
   }, 20) / requests;
 }
 
-function openStream(world: ReturnType<typeof worldOf>, n: number): void {
+function openStream(
+  world: ReturnType<typeof createWorldOfSize>,
+  n: number,
+): void {
   const call: Event = {
     type: "callerRequest",
     request: `host-0/1/${n}`,
-    keyHash: keyOf("armor"),
+    keyHash: keyHashOf("armor"),
     service: "model-0",
     kind: "completion",
     path: "/",
@@ -121,20 +132,20 @@
   };
   const planner = request?.planner ?? "host-0";
   const message = { kind: { $case: "planGrant" as const, value: grant } };
-  step(world, [fromPeer(planner, message)], 21);
+  step(world, [peerEvent(planner, message)], 21);
 }
 
-function keyOf(name: string): string {
+function keyHashOf(name: string): string {
   const row = JSON.parse(customer(name, {}).value ?? "{}") as {
     key_hashes: string[];
   };
   return row.key_hashes[0] ?? "";
 }
 
-/** Settings of many customers. */
-function customersHeap(customers: number): number {
-  return heapOf(() => {
-    const world = worldOf(SMALL);
+/** Measures the heap size of the settings of many customers. */
+function measureCustomersHeap(customers: number): number {
+  return measureHeap(() => {
+    const world = createWorldOfSize(SMALL);
     for (let n = 0; n < customers; n += 100) {
       const rows = Array.from({ length: 100 }, (_, k) => {
         const { key, value } = customer(`customer-${n + k}`, { priority: 5 });
@@ -142,15 +153,15 @@
       });
       const value = { after: 0, upTo: 109 + n, rows };
       const message = { kind: { $case: "settingsRows" as const, value } };
-      step(world, [fromPeer("host-1", message)], 60);
+      step(world, [peerEvent("host-1", message)], 60);
     }
     return world;
   });
 }
 
-function indexHeap(blocks: number): number {
-  return heapOf(() => {
-    const world = worldOf(SMALL);
+function measureIndexHeap(blocks: number): number {
+  return measureHeap(() => {
+    const world = createWorldOfSize(SMALL);
     const events = Array.from({ length: blocks }, (_, n) => ({
       stored: true,
       hash: n * 2_654_435_761 % 2 ** 32,
@@ -161,7 +172,7 @@
   });
 }
 
-function bytesOf(message: Parameters<typeof fromPeer>[1]): number {
+function encodedBytes(message: Parameters<typeof peerEvent>[1]): number {
   const envelope = { from: "host-0", incarnation: 1, messages: [message] };
   return EnvelopeCodec.encode(envelope).finish().length;
 }
@@ -169,67 +180,77 @@
 /** Measures all slopes. */
 export function measureSlopes(): Slope[] {
   // The first world compiles the code that all measurements share.
-  for (let round = 0; round < 3; round += 1) decision(64);
+  for (let round = 0; round < 3; round += 1) measurePlacement(64);
   return [
-    slope("a placement", "µs", "upstreams of a service", [
+    measureSlope("a placement", "µs", "upstreams of a service", [
       4,
       8,
       16,
       32,
       64,
-    ], decision),
-    slope(
+    ], measurePlacement),
+    measureSlope(
       "an idle tick",
       "µs",
       "hosts of a region",
       [8, 30, 110, 330],
-      (x) => idleTick({ ...SMALL, hosts: x }),
+      (x) => measureIdleTick({ ...SMALL, hosts: x }),
     ),
-    slope("an idle tick", "µs", "upstreams in the list", [
+    measureSlope("an idle tick", "µs", "upstreams in the list", [
       10,
       100,
       300,
       600,
-    ], (x) => idleTick({ hosts: 110, upstreams: x, perService: 27 })),
-    slope("reading a digest", "µs", "hosts of a region", [
+    ], (x) => measureIdleTick({ hosts: 110, upstreams: x, perService: 27 })),
+    measureSlope("reading a digest", "µs", "hosts of a region", [
       8,
       30,
       110,
       330,
-    ], readGossip),
-    slope(
+    ], measureGossipReceipt),
+    measureSlope(
       "passing a chunk on",
       "µs",
       "open requests",
       [10, 40, 160],
-      passChunk,
+      measureChunk,
     ),
-    slope(
+    measureSlope(
       "a digest",
       "bytes",
       "hosts of a region",
       [8, 30, 110, 330],
-      (x) => bytesOf(heartbeats({ ...SMALL, hosts: x })),
+      (x) => encodedBytes(gossipMessage({ ...SMALL, hosts: x })),
     ),
-    slope("the host list", "bytes", "entries", [33, 330, 930], (x) =>
-      bytesOf({
-        kind: {
-          $case: "hostList",
-          value: {
-            revision: 1,
-            entries: entriesOf({ hosts: 30, upstreams: x - 30, perService: 9 }),
+    measureSlope(
+      "the host list",
+      "bytes",
+      "entries",
+      [33, 330, 930],
+      (x) =>
+        encodedBytes({
+          kind: {
+            $case: "hostList",
+            value: {
+              revision: 1,
+              entries: entriesOf({
+                hosts: 30,
+                upstreams: x - 30,
+                perService: 9,
+              }),
+            },
           },
-        },
-      })),
-    slope("settings", "bytes of heap", "customers", [
+        }),
+    ),
+    measureSlope("settings", "bytes of heap", "customers", [
       1000,
       10_000,
       40_000,
-    ], customersHeap),
-    slope("a prefix index", "bytes of heap", "blocks", [
+    ], measureCustomersHeap),
+    measureSlope("a prefix index", "bytes of heap", "blocks", [
       1000,
       10_000,
       50_000,
-    ], indexHeap),
+    ], measureIndexHeap),
   ];
 }
--- a/bench/core/wire.ts
+++ b/bench/core/wire.ts
@@ -1,4 +1,4 @@
-/** Bytes that one message between hosts takes on the wire, both ways. */
+/** Measures the TCP bytes of messages and polls, in both directions. */
 import { once } from "node:events";
 import { connect, createServer, type Socket } from "node:net";
 import { credentials, ServerCredentials } from "@grpc/grpc-js";
@@ -10,10 +10,10 @@
 import { parseAddress } from "../../src/util/address.ts";
 import { bindServer, createPeerServer } from "../../src/shell/peers/server.ts";
 
-/** A relay on loopback that counts what passes. */
+/** A loopback relay that counts the bytes it forwards. */
 class CountingRelay {
   bytes = 0;
-  readonly #server = createServer((from) => this.#join(from));
+  readonly #server = createServer((from) => this.#connect(from));
   readonly #sockets: Socket[] = [];
   #target = 0;
 
@@ -25,14 +25,14 @@
     return typeof bound === "object" && bound ? bound.port : 0;
   }
 
-  #join(from: Socket): void {
+  #connect(from: Socket): void {
     const to = connect(this.#target, "127.0.0.1");
     this.#sockets.push(from, to);
-    this.#pass(from, to);
-    this.#pass(to, from);
+    this.#forward(from, to);
+    this.#forward(to, from);
   }
 
-  #pass(from: Socket, to: Socket): void {
+  #forward(from: Socket, to: Socket): void {
     from.on("data", (part) => {
       this.bytes += part.length;
       to.write(part);
@@ -46,19 +46,27 @@
   }
 }
 
-const WARM = 20;
+const WARM_UP_RUNS = 20;
 const RUNS = 200;
 
-/** Mean bytes of a message that is sent alone, its receipt included. */
-export async function wireBytes(message: PeerMessage): Promise<number> {
+/**
+ * Returns the mean bytes of a message that is sent alone, including its
+ * acknowledgement.
+ */
+export async function measureMessageBytes(
+  message: PeerMessage,
+): Promise<number> {
   let arrived = 0;
   const server = createPeerServer({
     push: () => arrived += 1,
-    control: () => Promise.reject(new Error("Not served here")),
+    control: () =>
+      Promise.reject(
+        new Error("control calls are not supported by this benchmark"),
+      ),
     secret: "",
   });
-  const open = ServerCredentials.createInsecure();
-  const port = await bindServer(server, "127.0.0.1:0", open);
+  const insecure = ServerCredentials.createInsecure();
+  const port = await bindServer(server, "127.0.0.1:0", insecure);
   const relay = new CountingRelay();
   const address = `127.0.0.1:${await relay.start(port)}`;
   const peers = new Peers({
@@ -72,10 +80,10 @@
   const send = async (): Promise<void> => {
     const before = arrived;
     peers.send([{ to: "host-1", message }]);
-    while (arrived === before) await pause();
-    await pause();
+    while (arrived === before) await sleep();
+    await sleep();
   };
-  for (let n = 0; n < WARM; n += 1) await send();
+  for (let n = 0; n < WARM_UP_RUNS; n += 1) await send();
   const before = relay.bytes;
   for (let n = 0; n < RUNS; n += 1) await send();
   const bytes = relay.bytes - before;
@@ -85,8 +93,8 @@
   return bytes / RUNS;
 }
 
-/** Mean bytes of a poll of an engine stand-in, both ways. */
-export async function pollBytes(path: string): Promise<number> {
+/** Returns the mean bytes of a poll of an engine stand-in. */
+export async function measurePollBytes(path: string): Promise<number> {
   const text = `id = "e"\nlisten = "127.0.0.1:0"\n`;
   const settings = checkSettings("bench", text, EngineSchema).unwrap();
   const engine = await startEngine(settings);
@@ -98,7 +106,7 @@
     path,
     connectTimeoutMs: 1000,
   };
-  for (let n = 0; n < WARM; n += 1) await callText(call);
+  for (let n = 0; n < WARM_UP_RUNS; n += 1) await callText(call);
   const before = relay.bytes;
   for (let n = 0; n < RUNS; n += 1) await callText(call);
   const bytes = relay.bytes - before;
@@ -107,6 +115,6 @@
   return bytes / RUNS;
 }
 
-function pause(): Promise<void> {
+function sleep(): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, 1));
 }
--- a/bench/core/worlds.ts
+++ b/bench/core/worlds.ts
@@ -1,4 +1,4 @@
-/** Worlds of a given size. */
+/** Creates core worlds and messages of a given size. */
 import {
   createWorld,
   type Event,
@@ -9,19 +9,19 @@
 } from "../../src/core/mod.ts";
 import { seedRows } from "../../test/fake/seed_rows.ts";
 
-/** The size of a world. */
+/** The size of a fleet. */
 export type Size = {
   readonly hosts: number;
-  /** Upstreams in all, and how many of them serve each service. */
+  /** The total number of upstreams. */
   readonly upstreams: number;
   readonly perService: number;
 };
 
 const REGION = "r";
-/** So many upstreams that a service is never divided. */
-const ONE_POOL = 1000;
+/** More upstreams than any service has, so that each service is one pool. */
+const MAX_POOL_UPSTREAMS = 1000;
 
-function entry(given: Partial<ListEntry>): ListEntry {
+function listEntry(values: Partial<ListEntry>): ListEntry {
   return {
     id: "",
     kind: "entry",
@@ -35,18 +35,18 @@
     slots: 48,
     prefillRate: 20_000,
     cacheTokens: 200_000,
-    ...given,
+    ...values,
   };
 }
 
-/** The host list of a size. */
+/** Returns the host list of a fleet. */
 export function entriesOf(size: Size): ListEntry[] {
   const hosts = Array.from(
     { length: size.hosts },
-    (_, n) => entry({ id: `host-${n}` }),
+    (_, n) => listEntry({ id: `host-${n}` }),
   );
   const upstreams = Array.from({ length: size.upstreams }, (_, n) =>
-    entry({
+    listEntry({
       id: `upstream-${n}`,
       kind: "upstream",
       service: `model-${Math.floor(n / size.perService)}`,
@@ -55,16 +55,16 @@
   return [...hosts, ...upstreams];
 }
 
-/** A world of host-0 that knows the whole list and its settings. */
-export function worldOf(size: Size): World {
+/** Creates the world of host-0 with the full host list and the settings. */
+export function createWorldOfSize(size: Size): World {
   const world = createWorld({
     self: { id: "host-0", hall: "hall-1", region: REGION, incarnation: 1 },
     seed: 1,
-    options: { poolUpstreams: ONE_POOL },
+    options: { poolUpstreams: MAX_POOL_UPSTREAMS },
   });
   const list = { revision: 1, entries: entriesOf(size) };
   step(world, [{ type: "hostList", list }], 1);
-  step(world, [fromPeer("host-1", heartbeats(size))], 1);
+  step(world, [peerEvent("host-1", gossipMessage(size))], 1);
   const rows = seedRows().map((row, n) => ({
     key: row.key,
     version: n + 1,
@@ -72,25 +72,25 @@
   }));
   const value = { after: 0, upTo: rows.length, rows };
   const message: PeerMessage = { kind: { $case: "settingsRows", value } };
-  step(world, [fromPeer("host-1", message)], 1);
+  step(world, [peerEvent("host-1", message)], 1);
   return world;
 }
 
-/** A peer's message as an event. */
-export function fromPeer(from: string, message: PeerMessage): Event {
+/** Returns the event of a message from a peer. */
+export function peerEvent(from: string, message: PeerMessage): Event {
   return { type: "peerMessage", from, incarnation: 1, message };
 }
 
-/** A gossip message that has heard of every host. */
-export function heartbeats(size: Size, counter = 1): PeerMessage {
-  const beats = Array.from({ length: size.hosts }, (_, n) => ({
+/** Returns a gossip message with heartbeats of all hosts. */
+export function gossipMessage(size: Size, counter = 1): PeerMessage {
+  const heartbeats = Array.from({ length: size.hosts }, (_, n) => ({
     host: `host-${n}`,
     incarnation: 1_764_668_491_000 + n,
     counter,
     leaving: false,
   }));
   const value = {
-    heartbeats: beats,
+    heartbeats,
     settingsVersion: 4,
     listRevision: 1,
     answer: true,
@@ -98,11 +98,11 @@
   return { kind: { $case: "gossip", value } };
 }
 
-/** Load reports of all upstreams of one service. */
-export function reports(world: World, service: string): Event[] {
-  return (world.pools.get(service) ?? []).map((one) => ({
+/** Returns load reports of all upstreams of a service. */
+export function loadReports(world: World, service: string): Event[] {
+  return (world.pools.get(service) ?? []).map((upstream) => ({
     type: "loadReport",
-    upstream: one.id,
+    upstream: upstream.id,
     report: {
       running: 10,
       slots: 48,
@@ -115,8 +115,8 @@
   }));
 }
 
-/** An ask for a prompt of 8,192 tokens with 32 block hashes. */
-export function sampleAsk(request: string, pool: string): PeerMessage {
+/** Returns a plan request for a prompt of 8,192 tokens with 32 block hashes. */
+export function samplePlanRequest(request: string, pool: string): PeerMessage {
   const value = {
     request,
     pool,
--- a/bench/crashes/main.ts
+++ b/bench/crashes/main.ts
@@ -1,12 +1,12 @@
-/** What remembering crashes costs a host: `npm run bench:crashes`. */
+/** npm run bench:crashes: the cost of the crash table of a host. */
 import { encodeCrashes } from "../../src/gateway/crashes/crash_messages.ts";
 import { CrashTable } from "../../src/gateway/crashes/crash_table.ts";
 import { fingerprintOf } from "../../src/gateway/crashes/fingerprint.ts";
 
 const ROUNDS = 200;
-const RULE = { most: 3, lifeMs: 300_000 };
+const LIMITS = { most: 3, lifeMs: 300_000 };
 
-/** Milliseconds for each of `ROUNDS` rounds. */
+/** Returns the mean time of a round in milliseconds. */
 function measure(work: (round: number) => void): number {
   const startedAt = performance.now();
   for (let round = 0; round < ROUNDS; round++) work(round);
@@ -14,19 +14,19 @@
 }
 
 for (const bytes of [2_000, 64_000, 4_000_000]) {
-  const source = {
+  const request = {
     method: "POST",
     host: "example",
     target: "/path",
     customer: "customer",
     body: Buffer.alloc(bytes, "x"),
   };
-  const ms = measure(() => fingerprintOf(source));
+  const ms = measure(() => fingerprintOf(request));
   console.log(`${bytes} bytes of a body: ${ms.toFixed(3)} ms to name it`);
 }
 
 for (const requests of [20, 1000]) {
-  const table = new CrashTable(RULE);
+  const table = new CrashTable(LIMITS);
   const nameOf = (at: number) => String(at).padStart(32, "0");
   const crash = (at: number, replica: string) => ({
     fingerprint: nameOf(at),
@@ -39,8 +39,8 @@
   );
   table.take({ records, acquittals: [] }, 0);
   const ms = measure((round) => {
-    const one = crash(round % requests, `j-${round}`);
-    table.take({ records: [one], acquittals: [] }, 0);
+    const record = crash(round % requests, `j-${round}`);
+    table.take({ records: [record], acquittals: [] }, 0);
   });
   const size = JSON.stringify(encodeCrashes(table.all(0), 0)).length;
   console.log(
--- a/bench/days/play.sh
+++ b/bench/days/play.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Plays our own days on a site:
+# Runs the days of this folder on a site:
 #   bench/days/play.sh PROGRAM SITE WHY [DAY...]
-# PROGRAM is the users' bench, SITE a site file, WHY the line for the journal.
-# Without DAY, all days of this folder are played, one after the other.
+# PROGRAM is the benchmark program, SITE a site file, WHY the reason for the journal.
+# Without DAY, all days of this folder are run, one after the other.
 set -euo pipefail
 if [ "$#" -lt 3 ]; then
   sed -n '2,5s/^# //p' "$0" >&2
--- a/bench/limits/main.ts
+++ b/bench/limits/main.ts
@@ -1,4 +1,4 @@
-/** What limits of replicas cost a host: `npm run bench:limits`. */
+/** npm run bench:limits: the cost of replicas' rate limits on a host. */
 import { limitAllowance } from "../../src/gateway/limits/allowance.ts";
 import { LimitTable } from "../../src/gateway/limits/limit_table.ts";
 import { encodeLimits } from "../../src/gateway/limits/limit_messages.ts";
@@ -12,7 +12,7 @@
 const PER_SECOND = 6.3;
 const NONE: LimitHeader = { type: "none" };
 
-/** Microseconds for each of `ROUNDS` rounds. */
+/** Returns the mean time of a round in microseconds. */
 function measure(work: (round: number) => void): number {
   const startedAt = performance.now();
   for (let round = 0; round < ROUNDS; round++) work(round);
@@ -22,20 +22,20 @@
 const nameOf = (at: number) =>
   `i-${String(at).padStart(10, "0")}@1790000000000`;
 
-const empty = new LimitTable();
-const hearUs = measure((round) => {
+const emptyTable = new LimitTable();
+const observeUs = measure((round) => {
   const incarnation = nameOf(round % REPLICAS);
-  empty.hear({ incarnation, header: NONE, sentAt: round }, round);
+  emptyTable.hear({ incarnation, header: NONE, sentAt: round }, round);
 });
-console.log(`no limit known: ${hearUs.toFixed(2)} µs an answer`);
+console.log(`no limit known: ${observeUs.toFixed(2)} µs an answer`);
 
-const full = new LimitTable();
-full.take(Array.from({ length: REPLICAS }, (_, at) => ({
+const fullTable = new LimitTable();
+fullTable.take(Array.from({ length: REPLICAS }, (_, at) => ({
   incarnation: nameOf(at),
   perSecond: PER_SECOND,
   at: 0,
 })));
-const bytes = JSON.stringify(encodeLimits(full.all(), 0)).length;
+const bytes = JSON.stringify(encodeLimits(fullTable.all(), 0)).length;
 console.log(
   `${REPLICAS} limited replicas: ${Math.round(bytes / 1000)} KB to tell all, ` +
     `${Math.round(bytes / REPLICAS)} bytes a change`,
@@ -52,7 +52,7 @@
   ledger.setMember(`host-${host}`, member, 0);
 }
 let granted = 0;
-const takeUs = measure((round) => {
+const acquireUs = measure((round) => {
   const taken = ledger.take({
     customer: nameOf(round % REPLICAS),
     units: 1,
@@ -64,5 +64,5 @@
 });
 console.log(
   `an owner of all ${REPLICAS}, named by ${HOSTS} hosts, 3,800 asks a second: ` +
-    `${takeUs.toFixed(1)} µs an ask, ${granted} of ${ROUNDS} granted`,
+    `${acquireUs.toFixed(1)} µs an ask, ${granted} of ${ROUNDS} granted`,
 );
--- a/bench/planner/main.ts
+++ b/bench/planner/main.ts
@@ -1,6 +1,6 @@
 /**
- * npm run bench:planner: how long a pass of the planner over its queue takes
- * when no waiting request can be placed, over replicas and waiting requests.
+ * npm run bench:planner: the time of a planner pass when no queued request can
+ * be placed, by numbers of replicas and of queued requests.
  */
 import { ReplicaStage } from "../../src/gateway/mod.ts";
 import type { PlanAsk } from "../../src/gateway/planning/messages.ts";
@@ -8,12 +8,12 @@
 import type { PlannerView } from "../../src/gateway/planning/view.ts";
 import { table } from "../policy/tables.ts";
 
-/** Memory of a decode replica, in tokens. */
+/** The memory of a decode replica in tokens. */
 const MEMORY = 29_000;
 const PREFILL_SHARE = 0.22;
-const WARM_PASSES = 30;
+const WARM_UP_PASSES = 30;
 const PASSES = 100;
-const PASS_MS = 20;
+const PASS_INTERVAL_MS = 20;
 
 const rows: string[][] = [];
 for (const replicas of [90, 600]) {
@@ -24,28 +24,34 @@
 }
 console.log(table(["replicas", "waiting", "median pass, ms"], rows));
 
-/** The median time of a pass over a full pool. */
+/** Returns the median time of a pass over a pool without free memory. */
 function medianPass(replicas: number, waiting: number): number {
   const planner = new Planner(viewOf(replicas));
-  fill(planner, replicas);
+  fillPool(planner, replicas);
   for (let at = 0; at < waiting; at++) {
-    planner.enqueue("host", ask(`w${at}`, MEMORY / 4), 0);
+    planner.enqueue("host", planRequest(`w${at}`, MEMORY / 4), 0);
   }
   const times: number[] = [];
-  for (let count = 0; count < WARM_PASSES + PASSES; count++) {
+  for (let count = 0; count < WARM_UP_PASSES + PASSES; count++) {
     const startedAt = performance.now();
-    planner.pass(count * PASS_MS);
-    if (count >= WARM_PASSES) times.push(performance.now() - startedAt);
+    planner.pass(count * PASS_INTERVAL_MS);
+    if (count >= WARM_UP_PASSES) times.push(performance.now() - startedAt);
+  }
+  if (planner.waiting !== waiting) {
+    throw new Error("Some queued requests were placed: the pool was not full");
   }
-  if (planner.waiting !== waiting) throw new Error("The pool was not full");
   return times.sort((a, b) => a - b)[PASSES / 2] ?? 0;
 }
 
-/** Gives all memory away. */
-function fill(planner: Planner, replicas: number): void {
+/** Reserves the memory of all decode replicas. */
+function fillPool(planner: Planner, replicas: number): void {
   const prefills = Math.ceil(replicas * PREFILL_SHARE);
   for (let at = 0; at < replicas - prefills; at++) {
-    planner.enqueue("host", { ...ask(`f${at}`, MEMORY), whole: true }, 0);
+    planner.enqueue(
+      "host",
+      { ...planRequest(`f${at}`, MEMORY), whole: true },
+      0,
+    );
   }
   planner.pass(0);
 }
@@ -65,8 +71,8 @@
     coldMs: 0,
   }));
   return {
-    // A new array each time, as the replica table gives.
-    replicasOf: () => entries.filter((one) => !one.leaving),
+    // Returns a new array on each call, as the replica table does.
+    replicasOf: () => entries.filter((entry) => !entry.leaving),
     memoryOf: () => MEMORY,
     isPaused: () => false,
     limitOf: () => undefined,
@@ -78,7 +84,7 @@
   };
 }
 
-function ask(id: string, tokens: number): PlanAsk {
+function planRequest(id: string, tokens: number): PlanAsk {
   return {
     type: "ask",
     id,
--- a/bench/policy/bound.ts
+++ b/bench/policy/bound.ts
@@ -1,22 +1,23 @@
 /**
- * A bound with perfect knowledge: one pooled server with all prefill rates
- * together and every shared part cached, one pool of decode slots; requests
- * by deadline, the largest given up when not all can be on time.
+ * Computes an upper bound on the goodput: one server with the sum of all prefill
+ * rates and all shared prefixes cached, and one pool of decode slots. Requests
+ * are served by deadline; if not all can be on time, the largest is dropped.
  */
-import { type Arrival, coldTokens } from "./arrivals.ts";
+import { type Arrival, uncachedTokens } from "./arrivals.ts";
 import type { Workload } from "./workloads.ts";
 
-type Waiting = { readonly arrival: Arrival; workMs: number; due: number };
+type QueuedJob = { readonly arrival: Arrival; workMs: number; dueAt: number };
 
-/** Share of requests that such a server would serve on time. */
-export function boundOf(
+/** Returns the share of requests that this server serves on time. */
+export function upperBoundOf(
   workload: Workload,
   arrivals: readonly Arrival[],
 ): number {
   const { engine, layout: { upstreams } } = workload;
-  const prefills = upstreams.filter((one) => one.role === "prefill").length;
+  const prefills =
+    upstreams.filter((upstream) => upstream.role === "prefill").length;
   const rate = prefills * engine.prefillRate / 1000;
-  const queue: Waiting[] = [];
+  const queue: QueuedJob[] = [];
   let now = 0;
   let onTime = 0;
   const serveUntil = (end: number): void => {
@@ -34,45 +35,50 @@
   };
   for (const arrival of arrivals) {
     serveUntil(arrival.at);
-    const due = arrival.at + arrival.kind.firstTokenMs;
-    const workMs = coldTokens(arrival) / rate;
-    queue.push({ arrival, workMs, due });
-    queue.sort((a, b) => a.due - b.due);
-    shed(queue, now);
+    const dueAt = arrival.at + arrival.kind.firstTokenMs;
+    const workMs = uncachedTokens(arrival) / rate;
+    queue.push({ arrival, workMs, dueAt });
+    queue.sort((a, b) => a.dueAt - b.dueAt);
+    dropLateRequests(queue, now);
   }
   serveUntil(Infinity);
   return Math.min(onTime / arrivals.length, decodeShare(workload, arrivals));
 }
 
-/** Gives up the largest request as long as some would be late. */
-function shed(queue: Waiting[], now: number): void {
+/** Drops the largest queued request until none is late. */
+function dropLateRequests(queue: QueuedJob[], now: number): void {
   for (;;) {
     let at = now;
     let late = -1;
-    for (const [place, one] of queue.entries()) {
-      at += one.workMs;
-      if (at <= one.due) continue;
-      late = place;
+    for (const [index, job] of queue.entries()) {
+      at += job.workMs;
+      if (at <= job.dueAt) continue;
+      late = index;
       break;
     }
     if (late < 0) return;
     let largest = 0;
-    for (let place = 1; place <= late; place += 1) {
-      const one = queue[place];
-      const other = queue[largest];
-      if (one && other && one.workMs > other.workMs) largest = place;
+    for (let index = 1; index <= late; index += 1) {
+      const job = queue[index];
+      const current = queue[largest];
+      if (job && current && job.workMs > current.workMs) {
+        largest = index;
+      }
     }
     queue.splice(largest, 1);
   }
 }
 
-/** The most requests that the decode slots can hold over the whole span. */
+/**
+ * Returns the share of requests that the decode slots can serve over the run.
+ */
 function decodeShare(
   workload: Workload,
   arrivals: readonly Arrival[],
 ): number {
   const { engine, layout: { upstreams } } = workload;
-  const decodes = upstreams.filter((one) => one.role === "decode").length;
+  const decodes =
+    upstreams.filter((upstream) => upstream.role === "decode").length;
   const slots = Math.min(
     engine.slots,
     Math.floor((35 - engine.stepBaseMs) / engine.stepPerRequestMs),
@@ -82,7 +88,7 @@
   const stepMs = engine.stepBaseMs + engine.stepPerRequestMs * slots;
   let left = decodes * slots * span;
   const needs = arrivals
-    .map((one) => one.outputTokens * stepMs)
+    .map((arrival) => arrival.outputTokens * stepMs)
     .sort((a, b) => a - b);
   let served = 0;
   for (const need of needs) {
--- a/bench/policy/disturbances.ts
+++ b/bench/policy/disturbances.ts
@@ -1,40 +1,41 @@
-/** What goes wrong during a trial. */
+/** Faults that are injected into a trial. */
 import type { EngineParameters } from "../../src/standins/engine/mod.ts";
 import type { Fleet } from "../../test/fake/fleet.ts";
 import { PLATFORM } from "../../test/fake/network.ts";
 
-/** One disturbance. */
 export type Disturbance = {
-  /** Engine parameters that differ. */
+  /** Engine parameters that override the workload's. */
   readonly engine: Partial<EngineParameters>;
-  /** Share of callers that go away early. */
+  /** The share of callers that disconnect early. */
   readonly cancelShare: number;
-  /** Plans what happens between two times. */
-  apply(fleet: Fleet, from: number, span: number): void;
+  /** Schedules the faults in the period of `span` milliseconds after `from`. */
+  schedule(fleet: Fleet, from: number, span: number): void;
 };
 
-const NOTHING: Disturbance = {
+const NO_DISTURBANCE: Disturbance = {
   engine: {},
   cancelShare: 0,
-  apply: () => undefined,
+  schedule: () => undefined,
 };
 
-function loseEvents(share: number): Disturbance {
+function loseCacheEvents(share: number): Disturbance {
   const apply = (fleet: Fleet): void => {
-    for (const one of fleet.upstreams.values()) one.dropCacheShare = share;
+    for (const upstream of fleet.upstreams.values()) {
+      upstream.dropCacheShare = share;
+    }
   };
-  return { ...NOTHING, apply };
+  return { ...NO_DISTURBANCE, schedule: apply };
 }
 
-function at(
+function disturbOnce(
   run: (fleet: Fleet) => void,
   share: number,
   engine: Partial<EngineParameters> = {},
 ): Disturbance {
   return {
-    ...NOTHING,
+    ...NO_DISTURBANCE,
     engine,
-    apply: (fleet, from, span) => {
+    schedule: (fleet, from, span) => {
       fleet.queue.push(from + span * share, () => run(fleet));
     },
   };
@@ -42,31 +43,31 @@
 
 /** All disturbances by name. */
 export const DISTURBANCES: Readonly<Record<string, Disturbance>> = {
-  none: NOTHING,
-  "reports 1 s late": { ...NOTHING, engine: { reportLagMs: 1000 } },
-  "reports 2 s late": { ...NOTHING, engine: { reportLagMs: 2000 } },
-  "cache events 20% lost": loseEvents(0.2),
-  "one prefill slow": at((fleet) => {
+  none: NO_DISTURBANCE,
+  "reports 1 s late": { ...NO_DISTURBANCE, engine: { reportLagMs: 1000 } },
+  "reports 2 s late": { ...NO_DISTURBANCE, engine: { reportLagMs: 2000 } },
+  "cache events 20% lost": loseCacheEvents(0.2),
+  "one prefill slow": disturbOnce((fleet) => {
     fleet.upstream("p-0").engine.slowdown = 2;
   }, 0.2),
-  "one prefill dies": at((fleet) => {
+  "one prefill dies": disturbOnce((fleet) => {
     fleet.upstream("p-0").die();
     fleet.after(10_000, () => fleet.upstream("p-0").restart());
   }, 0.45),
-  "one decode dies": at((fleet) => {
+  "one decode dies": disturbOnce((fleet) => {
     fleet.upstream("d-0").die();
     fleet.after(10_000, () => fleet.upstream("d-0").restart());
   }, 0.45),
-  "10% of callers leave": { ...NOTHING, cancelShare: 0.1 },
-  "a link stalls 2 s": at((fleet) => {
+  "10% of callers leave": { ...NO_DISTURBANCE, cancelShare: 0.1 },
+  "a link stalls 2 s": disturbOnce((fleet) => {
     fleet.upstream("p-0").engine.stalledUntil = fleet.now + 2000;
   }, 0.5),
-  "a hall is cut 15 s": at((fleet) => {
+  "a hall is cut 15 s": disturbOnce((fleet) => {
     const others = ["hall-b", "hall-c", PLATFORM];
     for (const other of others) fleet.network.cut("hall-a", other);
     fleet.after(15_000, () => fleet.network.healAll());
   }, 0.4),
-  "a planner dies": at((fleet) => {
+  "a planner dies": disturbOnce((fleet) => {
     const [host] = fleet.hosts.values();
     const planner = host?.world.view.planners.values().next().value;
     if (planner !== undefined) fleet.kill(planner);
--- a/bench/policy/main.ts
+++ b/bench/policy/main.ts
@@ -1,11 +1,11 @@
-/** npm run bench:policy: the decisions under load and faults. */
+/** npm run bench:policy: compares planner policies under load and faults. */
 import { execFileSync } from "node:child_process";
 import { parseArgs } from "node:util";
 import { writeSection } from "../report.ts";
 import { DISTURBANCES } from "./disturbances.ts";
 import { runTrials } from "./pool.ts";
-import { FIGURES, figures, groupBy, table } from "./tables.ts";
-import type { TrialResult, TrialSource } from "./trial.ts";
+import { COLUMNS, formatCells, groupBy, table } from "./tables.ts";
+import type { TrialOptions, TrialResult } from "./trial.ts";
 
 const { values } = parseArgs({
   options: {
@@ -16,7 +16,7 @@
 });
 const COMMIT = commit();
 const SEEDS = Array.from({ length: Number(values.seeds) }, (_, n) => n + 1);
-const SPAN_MS = Number(values.seconds) * 1000;
+const DURATION_MS = Number(values.seconds) * 1000;
 const WORKLOADS = ["armor", "forum", "paper"] as const;
 const LOADS = [0.5, 0.8, 1.0, 1.2, 1.5];
 const POLICIES = [
@@ -47,40 +47,40 @@
 type Section = {
   readonly name: string;
   readonly title: string;
-  readonly sources: readonly Omit<TrialSource, "seed" | "spanMs">[];
-  readonly row: (one: TrialResult) => string;
+  readonly trials: readonly Omit<TrialOptions, "seed" | "spanMs">[];
+  readonly row: (result: TrialResult) => string;
   readonly rowTitle: string;
-  /** Virtual time of each trial, when not the usual one. */
+  /** The virtual time of each trial, if not the default. */
   readonly spanMs?: number;
 };
 
-const plain = { disturbance: "none", hosts: 9 };
+const DEFAULTS = { disturbance: "none", hosts: 9 };
 
 const SECTIONS: readonly Section[] = [
   {
     name: "policies",
     title: "Policies side by side",
-    sources: WORKLOADS.flatMap((workload) =>
+    trials: WORKLOADS.flatMap((workload) =>
       LOADS.flatMap((load) =>
-        POLICIES.map((policy) => ({ workload, load, policy, ...plain }))
+        POLICIES.map((policy) => ({ workload, load, policy, ...DEFAULTS }))
       )
     ),
     rowTitle: "workload, load, policy",
-    row: (one) => `${one.workload}, ${one.load}, ${one.policy}`,
+    row: (result) => `${result.workload}, ${result.load}, ${result.policy}`,
   },
   {
     name: "sweep",
     title: "Parameters swept, at load 1.0",
-    sources: WORKLOADS.flatMap((workload) =>
-      SWEEP.map((policy) => ({ workload, load: 1, policy, ...plain }))
+    trials: WORKLOADS.flatMap((workload) =>
+      SWEEP.map((policy) => ({ workload, load: 1, policy, ...DEFAULTS }))
     ),
     rowTitle: "workload, policy:parameter",
-    row: (one) => `${one.workload}, ${one.policy}`,
+    row: (result) => `${result.workload}, ${result.policy}`,
   },
   {
     name: "disturbances",
     title: "Ours under disturbances, at load 0.8",
-    sources: (["armor", "forum"] as const).flatMap((workload) =>
+    trials: (["armor", "forum"] as const).flatMap((workload) =>
       Object.keys(DISTURBANCES).flatMap((disturbance) =>
         ["cost", "sticky-tau:20000"].map((policy) => ({
           workload,
@@ -92,44 +92,45 @@
       )
     ),
     rowTitle: "workload, disturbance, policy",
-    row: (one) => `${one.workload}, ${one.disturbance}, ${one.policy}`,
+    row: (result) =>
+      `${result.workload}, ${result.disturbance}, ${result.policy}`,
   },
   {
     name: "split",
     title: "The split fixed, or following the load (90 s)",
     spanMs: 90_000,
-    sources: (["armor", "armor 6 + 2"] as const).flatMap((workload) =>
+    trials: (["armor", "armor 6 + 2"] as const).flatMap((workload) =>
       [0.8, 1.5].flatMap((load) =>
         ["cost", "cost-split"].map((policy) => ({
           workload,
           load,
           policy,
-          ...plain,
+          ...DEFAULTS,
         }))
       )
     ),
     rowTitle: "workload, load, policy",
-    row: (one) => `${one.workload}, ${one.load}, ${one.policy}`,
+    row: (result) => `${result.workload}, ${result.load}, ${result.policy}`,
   },
   {
     name: "pools",
     title: "One pool of 32 upstreams, or several",
-    sources: [0.8, 1.0].flatMap((load) =>
+    trials: [0.8, 1.0].flatMap((load) =>
       ["cost-pools:32", "cost-pools:16", "cost-pools:8", "cost-pools:4"]
         .map((policy) => ({
           workload: "armor x 4" as const,
           load,
           policy,
-          ...plain,
+          ...DEFAULTS,
         }))
     ),
     rowTitle: "workload, load, upstreams of a pool",
-    row: (one) => `${one.workload}, ${one.load}, ${one.policy}`,
+    row: (result) => `${result.workload}, ${result.load}, ${result.policy}`,
   },
   {
     name: "hosts",
     title: "Many hosts: one planner, or each host alone",
-    sources: WORKLOADS.flatMap((workload) =>
+    trials: WORKLOADS.flatMap((workload) =>
       [0.8, 1.0].flatMap((load) => [
         { workload, load, policy: "cost", disturbance: "none", hosts: 1 },
         { workload, load, policy: "cost", disturbance: "none", hosts: 9 },
@@ -137,24 +138,26 @@
       ])
     ),
     rowTitle: "workload, load, policy, hosts",
-    row: (one) =>
-      `${one.workload}, ${one.load}, ${one.policy}, ${one.hosts} hosts`,
+    row: (result) =>
+      `${result.workload}, ${result.load}, ${result.policy}, ${result.hosts} hosts`,
   },
 ];
 
 for (const section of SECTIONS) {
   if (values.only !== undefined && values.only !== section.name) continue;
-  const sources = section.sources.flatMap((one) =>
+  const trials = section.trials.flatMap((trial) =>
     SEEDS.map((seed) => ({
-      ...one,
+      ...trial,
       seed,
-      spanMs: section.spanMs ?? SPAN_MS,
+      spanMs: section.spanMs ?? DURATION_MS,
     }))
   );
-  const results = await runTrials(sources);
+  const results = await runTrials(trials);
   const groups = groupBy(results, section.row);
-  const rows = [...groups].map(([name, group]) => [name, ...figures(group)]);
-  const text = table([section.rowTitle, ...FIGURES], rows);
+  const rows = [...groups].map((
+    [name, group],
+  ) => [name, ...formatCells(group)]);
+  const text = table([section.rowTitle, ...COLUMNS], rows);
   console.log(`\n${section.title}\n${text}`);
   writeSection(
     "docs/MEASUREMENTS.md",
--- a/bench/policy/pool.ts
+++ b/bench/policy/pool.ts
@@ -1,39 +1,42 @@
-/** Runs trials on all cores, each in a worker thread. */
+/** Runs trials on all cores in worker threads. */
 import { availableParallelism } from "node:os";
 import { isMainThread, parentPort, Worker } from "node:worker_threads";
-import { runTrial, type TrialResult, type TrialSource } from "./trial.ts";
+import { runTrial, type TrialOptions, type TrialResult } from "./trial.ts";
 
 if (!isMainThread) {
-  parentPort?.on("message", (source: TrialSource) => {
-    parentPort?.postMessage(runTrial(source));
+  parentPort?.on("message", (trial: TrialOptions) => {
+    parentPort?.postMessage(runTrial(trial));
   });
 }
 
-/** Runs all trials; the results are in the order of the sources. */
+/** Runs all trials and returns the results in the same order. */
 export async function runTrials(
-  sources: readonly TrialSource[],
+  trials: readonly TrialOptions[],
 ): Promise<TrialResult[]> {
   const results: TrialResult[] = [];
   let next = 0;
-  const workers = Math.min(availableParallelism(), sources.length);
+  const workers = Math.min(availableParallelism(), trials.length);
   await Promise.all(Array.from({ length: workers }, async () => {
     const worker = new Worker(new URL(import.meta.url));
-    while (next < sources.length) {
-      const place = next;
+    while (next < trials.length) {
+      const index = next;
       next += 1;
-      const source = sources[place];
-      if (source) results[place] = await ask(worker, source);
+      const trial = trials[index];
+      if (trial) results[index] = await runInWorker(worker, trial);
     }
     await worker.terminate();
   }));
   return results;
 }
 
-function ask(worker: Worker, source: TrialSource): Promise<TrialResult> {
+function runInWorker(
+  worker: Worker,
+  trial: TrialOptions,
+): Promise<TrialResult> {
   return new Promise((resolve, reject) => {
     worker.removeAllListeners();
     worker.once("message", resolve);
     worker.once("error", reject);
-    worker.postMessage(source);
+    worker.postMessage(trial);
   });
 }
--- a/bench/policy/room.ts
+++ b/bench/policy/room.ts
@@ -1,15 +1,18 @@
-/** Whether the engines, as they truly are, had room for a refused request. */
+/**
+ * Checks against the engines' actual state whether a refused request could have
+ * been served.
+ */
 import { type Engine, hitBlocks } from "../../src/standins/engine/mod.ts";
 import { callerRequest, type Got } from "../../test/fake/callers.ts";
 import type { Fleet } from "../../test/fake/fleet.ts";
 
-/** Requests that an engine decodes at once within 35 ms a token. */
-const SLOTS_IN_TIME = 40;
-/** A first decode step, and the way there and back. */
+/** The concurrent requests that an engine decodes within 35 ms per token. */
+const MAX_RUNNING = 40;
+/** The first decode step including the network delay. */
 const STEP_MS = 35;
 
-/** Time of a prompt's own prefill at an engine. */
-function prefillMs(
+/** Returns the time of the prompt's prefill at an engine. */
+function prefillTimeMs(
   engine: Engine,
   promptTokens: number,
   prefixes: readonly number[],
@@ -19,7 +22,10 @@
   return (promptTokens - hits) / prefillRate * 1000;
 }
 
-/** When a first token could come by way of an engine as it is. */
+/**
+ * Returns the earliest time of the first token if an engine prefills the
+ * prompt.
+ */
 function firstTokenAt(
   engine: Engine,
   promptTokens: number,
@@ -35,44 +41,47 @@
   );
   const startAt = Math.max(now, engine.prefillNow?.endsAt ?? 0);
   const prefilledAt = startAt + queued / prefillRate * 1000 +
-    prefillMs(engine, promptTokens, prefixes);
+    prefillTimeMs(engine, promptTokens, prefixes);
   const linkAt = Math.max(engine.linkFreeAt, prefilledAt);
   return linkAt + promptTokens * transferMsPerToken + STEP_MS;
 }
 
-/** Whether a request could have had its first token in the time left. */
+/** Whether the first token of a request could have arrived within `leftMs`. */
 export function couldServe(fleet: Fleet, got: Got, leftMs: number): boolean {
   const { now } = fleet;
   const { prefixes, promptTokens } = callerRequest(got.id, got.call);
   const upstreams = [...fleet.upstreams.values()];
-  const slot = upstreams.some(({ laid, engine }) => {
-    const held = engine.running.size + engine.fetching.size;
-    return laid.role === "decode" && held < SLOTS_IN_TIME;
+  const hasFreeSlot = upstreams.some(({ laid, engine }) => {
+    const inUse = engine.running.size + engine.fetching.size;
+    return laid.role === "decode" && inUse < MAX_RUNNING;
   });
-  if (!slot) return false;
+  if (!hasFreeSlot) return false;
   const engines = upstreams
     .filter(({ laid }) => laid.role === "prefill")
     .map(({ engine }) => engine);
-  const aheadMs = waitingMs(fleet, engines);
+  const aheadMs = queuedWorkMs(fleet, engines);
   return engines.some((engine) => {
     const at = firstTokenAt(engine, promptTokens, prefixes, now);
     return at - now + aheadMs <= leftMs;
   });
 }
 
-/** Time that the work waiting at planners takes the prefill engines. */
-function waitingMs(fleet: Fleet, engines: readonly Engine[]): number {
+/**
+ * Returns the time that the prefill engines need for the requests queued at
+ * planners.
+ */
+function queuedWorkMs(fleet: Fleet, engines: readonly Engine[]): number {
   let waitMs = 0;
   for (const { world } of fleet.hosts.values()) {
     const perToken = world.options.transferMsPerToken;
     for (const queue of world.plans.asks.values()) {
       for (const { ask } of queue.values()) {
-        const least = Math.min(
+        const minMs = Math.min(
           ...engines.map((engine) =>
-            prefillMs(engine, ask.promptTokens, ask.prefixes)
+            prefillTimeMs(engine, ask.promptTokens, ask.prefixes)
           ),
         );
-        waitMs += Math.max(least, ask.promptTokens * perToken);
+        waitMs += Math.max(minMs, ask.promptTokens * perToken);
       }
     }
   }
--- a/bench/policy/tables.ts
+++ b/bench/policy/tables.ts
@@ -1,25 +1,26 @@
-/** The tables of the policy bench as Markdown. */
+/** Formats the results of the policy benchmark as Markdown tables. */
 import type { TrialResult } from "./trial.ts";
 
-/** Results of the same trial with other seeds, taken together. */
+/** Returns the mean of a value over results. */
 export function meanOf(
   results: readonly TrialResult[],
-  value: (one: TrialResult) => number,
+  value: (result: TrialResult) => number,
 ): number {
-  return results.reduce((sum, one) => sum + value(one), 0) / results.length;
+  return results.reduce((sum, result) => sum + value(result), 0) /
+    results.length;
 }
 
-/** Share of requests that met both targets. */
-export function goodput(one: TrialResult): number {
-  return one.good / one.requests;
+/** Returns the share of requests that met both latency targets. */
+export function goodput(result: TrialResult): number {
+  return result.good / result.requests;
 }
 
-/** Prefill tokens thrown away or done again, as a share. */
-export function wasted(one: TrialResult): number {
-  return (one.thrown + one.redone) / Math.max(1, one.prefilled);
+/** Returns the share of prefill tokens that were discarded or repeated. */
+export function wasted(result: TrialResult): number {
+  return (result.thrown + result.redone) / Math.max(1, result.prefilled);
 }
 
-/** A Markdown table. */
+/** Formats a Markdown table. */
 export function table(
   head: readonly string[],
   rows: readonly (readonly string[])[],
@@ -29,26 +30,26 @@
   return [line(head), rule, ...rows.map(line)].join("\n");
 }
 
-/** A share as a percentage. */
+/** Formats a share as a percentage. */
 export function percent(share: number): string {
   return `${(share * 100).toFixed(1)}%`;
 }
 
-/** Groups results by a name, in order of first appearance. */
+/** Groups results by name, in order of first appearance. */
 export function groupBy(
   results: readonly TrialResult[],
-  name: (one: TrialResult) => string,
+  name: (result: TrialResult) => string,
 ): Map<string, TrialResult[]> {
   const groups = new Map<string, TrialResult[]>();
-  for (const one of results) {
-    const key = name(one);
-    groups.set(key, [...(groups.get(key) ?? []), one]);
+  for (const result of results) {
+    const key = name(result);
+    groups.set(key, [...(groups.get(key) ?? []), result]);
   }
   return groups;
 }
 
-/** The row of figures that most tables share. */
-export const FIGURES = [
+/** The columns that all tables share. */
+export const COLUMNS = [
   "goodput",
   "of bound",
   "on time /s",
@@ -63,33 +64,35 @@
   "between tokens p95 ms",
 ] as const;
 
-/** Those figures for a group of results. */
-export function figures(results: readonly TrialResult[]): string[] {
-  const mean = (value: (one: TrialResult) => number): number =>
+/** Formats the cells of {@link COLUMNS} for a group of results. */
+export function formatCells(results: readonly TrialResult[]): string[] {
+  const mean = (value: (result: TrialResult) => number): number =>
     meanOf(results, value);
   const miss = (name: string) =>
-    mean((one) => (one.misses[name] ?? 0) / one.requests);
-  const misses = (one: TrialResult): number =>
-    Object.values(one.misses).reduce((sum, count) => sum + count, 0) /
-    one.requests;
-  const first = [0, 1, 2].map((place) =>
-    mean((one) => one.firstToken[place] ?? 0).toFixed(0)
+    mean((result) => (result.misses[name] ?? 0) / result.requests);
+  const misses = (result: TrialResult): number =>
+    Object.values(result.misses).reduce((sum, count) => sum + count, 0) /
+    result.requests;
+  const first = [0, 1, 2].map((index) =>
+    mean((result) => result.firstToken[index] ?? 0).toFixed(0)
   );
   const late = miss("first token late");
   const slow = miss("between tokens slow");
   const refused = miss("overloaded");
   return [
     percent(mean(goodput)),
-    mean((one) => goodput(one) / one.bound).toFixed(3),
-    mean((one) => one.onTimePerSecond).toFixed(1),
+    mean((result) => goodput(result) / result.bound).toFixed(3),
+    mean((result) => result.onTimePerSecond).toFixed(1),
     percent(mean(wasted)),
-    percent(mean((one) => one.hitShare)),
+    percent(mean((result) => result.hitShare)),
     percent(refused),
-    percent(mean((one) => one.refusedWrongly / Math.max(1, one.refused))),
+    percent(
+      mean((result) => result.refusedWrongly / Math.max(1, result.refused)),
+    ),
     percent(late),
     percent(slow),
     percent(Math.max(0, mean(misses) - late - slow - refused)),
     first.join(" / "),
-    mean((one) => one.betweenTokens[1]).toFixed(1),
+    mean((result) => result.betweenTokens[1]).toFixed(1),
   ];
 }
--- a/bench/policy/tally.ts
+++ b/bench/policy/tally.ts
@@ -1,17 +1,18 @@
-/** Counts what a fake fleet does, from a moment on. */
+/** Collects statistics of a fake fleet. */
 import hdr from "hdr-histogram-js";
 import { EnvelopeCodec, type Order } from "../../src/core/mod.ts";
 import type { FakeHost, Fleet } from "../../test/fake/fleet.ts";
 import { couldServe } from "./room.ts";
 
-/** What was counted. */
-export type Tallied = {
+/** The collected statistics. */
+export type TallyResult = {
   readonly requests: number;
   readonly good: number;
   readonly onTimePerSecond: number;
   readonly misses: Readonly<Record<string, number>>;
-  /** Prefill tokens thrown away, and done again for the same request. */
+  /** Prefill tokens that were discarded. */
   readonly thrown: number;
+  /** Prefill tokens that were computed again for the same request. */
   readonly redone: number;
   readonly prefilled: number;
   readonly hitShare: number;
@@ -23,13 +24,13 @@
   readonly bytesPerRequest: number;
 };
 
-/** Counts what the fleet does from a moment on. */
+/** Collects statistics of a fleet from {@link Tally.start} on. */
 export class Tally {
   readonly #fleet: Fleet;
   readonly #first = newHistogram();
   readonly #between = newHistogram();
   readonly #misses: Record<string, number> = {};
-  readonly #prefillsOf = new Map<string, number>();
+  readonly #prefillCounts = new Map<string, number>();
   #startedAt = Infinity;
   #good = 0;
   #redone = 0;
@@ -43,7 +44,7 @@
     this.#fleet = fleet;
   }
 
-  /** Counts from now on. */
+  /** Starts the measurement. */
   start(): void {
     this.#startedAt = this.#fleet.now;
     this.#before = this.#records();
@@ -60,8 +61,8 @@
     return sums;
   }
 
-  /** Counts an order. */
-  note(host: FakeHost, order: Order): void {
+  /** Records an order. */
+  noteOrder(host: FakeHost, order: Order): void {
     if (this.#fleet.now < this.#startedAt) return;
     if (order.type === "tell") {
       const { id, incarnation } = host.world.self;
@@ -74,22 +75,22 @@
     if (order.type === "replyEnd") this.#noteEnd(order.request);
   }
 
-  /** Each prefill of a request after its first was done again. */
+  /** Records a prefill; all but the first of a request count as repeated. */
   notePrefill(attempt: string, computedTokens: number): void {
     const request = attempt.split("/").slice(0, 3).join("/");
-    const before = this.#prefillsOf.get(request) ?? 0;
-    this.#prefillsOf.set(request, before + 1);
-    const counts = this.#fleet.now >= this.#startedAt;
-    if (counts && before > 0) this.#redone += computedTokens;
+    const before = this.#prefillCounts.get(request) ?? 0;
+    this.#prefillCounts.set(request, before + 1);
+    const isMeasuring = this.#fleet.now >= this.#startedAt;
+    if (isMeasuring && before > 0) this.#redone += computedTokens;
   }
 
-  #counts(request: string): boolean {
+  #isCounted(request: string): boolean {
     const got = this.#fleet.got.get(request);
     return got !== undefined && got.at >= this.#startedAt;
   }
 
   #noteError(order: Extract<Order, { type: "replyError" }>): void {
-    if (!this.#counts(order.request)) return;
+    if (!this.#isCounted(order.request)) return;
     this.#miss(order.error);
     if (order.error !== "overloaded") return;
     this.#refused += 1;
@@ -104,7 +105,7 @@
   }
 
   #noteEnd(id: string): void {
-    if (!this.#counts(id)) return;
+    if (!this.#isCounted(id)) return;
     const got = this.#fleet.got.get(id);
     if (!got || got.gone) return;
     const firstMs = (got.firstAt ?? Infinity) - got.at;
@@ -124,14 +125,14 @@
     this.#misses[cause] = (this.#misses[cause] ?? 0) + 1;
   }
 
-  /** What was counted since the start. */
-  result(requests: number, spanMs: number): Tallied {
-    const gone = [...this.#fleet.got.values()]
-      .filter((one) => one.gone && one.at >= this.#startedAt).length;
+  /** Returns the statistics since the start. */
+  result(requests: number, spanMs: number): TallyResult {
+    const cancelled = [...this.#fleet.got.values()]
+      .filter((call) => call.gone && call.at >= this.#startedAt).length;
     const after = this.#records();
     const prefilled = after.prefilled - this.#before.prefilled;
     const prompts = after.prompts - this.#before.prompts;
-    const served = requests - gone;
+    const served = requests - cancelled;
     return {
       requests: served,
       good: this.#good,
--- a/bench/policy/trial.ts
+++ b/bench/policy/trial.ts
@@ -1,4 +1,4 @@
-/** One trial: a policy, a workload, a load and a disturbance. */
+/** Runs one trial: a policy and a workload at a load, with a disturbance. */
 import {
   alwaysSticky,
   costChooser,
@@ -14,10 +14,15 @@
 import { Fleet } from "../../test/fake/fleet.ts";
 import { customer } from "../../test/fake/seed_rows.ts";
 import { writeRows } from "../../src/standins/platform/model.ts";
-import { type Arrival, arrivalsOf, capacityOf, sharedOf } from "./arrivals.ts";
-import { boundOf } from "./bound.ts";
+import {
+  type Arrival,
+  capacityOf,
+  drawArrivals,
+  sharedTokensOf,
+} from "./arrivals.ts";
+import { upperBoundOf } from "./bound.ts";
 import { DISTURBANCES } from "./disturbances.ts";
-import { type Tallied, Tally } from "./tally.ts";
+import { Tally, type TallyResult } from "./tally.ts";
 import {
   armor,
   armorLarge,
@@ -27,8 +32,8 @@
   type Workload,
 } from "./workloads.ts";
 
-/** What to try. */
-export type TrialSource = {
+/** Options of {@link runTrial}. */
+export type TrialOptions = {
   readonly workload: keyof typeof WORKLOADS;
   readonly policy: string;
   readonly load: number;
@@ -38,9 +43,9 @@
   readonly spanMs: number;
 };
 
-/** What a trial came to. */
-export type TrialResult = TrialSource & Tallied & {
-  /** Share of requests on time with perfect knowledge. */
+/** The result of a trial, with its options. */
+export type TrialResult = TrialOptions & TallyResult & {
+  /** The upper bound on the share of requests on time. */
   readonly bound: number;
 };
 
@@ -51,11 +56,11 @@
   forum,
   paper,
 };
-const WARM_MS = 12_000;
-const COOL_MS = 20_000;
+const WARM_UP_MS = 12_000;
+const DRAIN_MS = 20_000;
 const SETTLE_MS = 6000;
 
-/** The policies by name; "name:number" sets a parameter. */
+/** Returns a policy by name; "name:number" sets a parameter. */
 export function policyOf(name: string): () => Policy {
   const [kind, parameter] = name.split(":");
   const number = Number(parameter);
@@ -79,72 +84,81 @@
   }
 }
 
-function optionsOf(source: TrialSource, workload: Workload): Partial<Options> {
-  const ours = source.policy.startsWith("cost");
-  // Baselines wait for what they have sent; giving up would only cost them.
-  const patience = ours
+function optionsOf(
+  options: TrialOptions,
+  workload: Workload,
+): Partial<Options> {
+  const isPredictedCost = options.policy.startsWith("cost");
+  // Baselines wait for requests that they have sent: abandoning them would only
+  // lower their results.
+  const slack = isPredictedCost
     ? {}
     : { prefillSlackMs: 60_000, transferSlackMs: 60_000 };
-  const [kind, parameter] = source.policy.split(":");
+  const [kind, parameter] = options.policy.split(":");
   const polls = kind === "cost-poll" ? { loadPollMs: Number(parameter) } : {};
   const pools = kind === "cost-pools"
     ? { poolUpstreams: Number(parameter) }
     : {};
   return {
-    ...patience,
+    ...slack,
     ...pools,
     ...polls,
-    planAlone: source.policy === "cost-alone",
+    planAlone: options.policy === "cost-alone",
     transferMsPerToken: workload.engine.transferMsPerToken,
   };
 }
 
-/** Runs a trial. */
-export function runTrial(source: TrialSource): TrialResult {
-  const disturbance = DISTURBANCES[source.disturbance];
-  if (!disturbance) throw new Error(`No disturbance ${source.disturbance}`);
-  const make = WORKLOADS[source.workload];
-  const workload: Workload = make(source.hosts, disturbance.engine);
+export function runTrial(options: TrialOptions): TrialResult {
+  const disturbance = DISTURBANCES[options.disturbance];
+  if (!disturbance) throw new Error(`No disturbance ${options.disturbance}`);
+  const createWorkload = WORKLOADS[options.workload];
+  const workload: Workload = createWorkload(options.hosts, disturbance.engine);
   const fleet = new Fleet({
     layout: workload.layout,
-    seed: source.seed,
-    policy: policyOf(source.policy),
-    options: optionsOf(source, workload),
+    seed: options.seed,
+    policy: policyOf(options.policy),
+    options: optionsOf(options, workload),
   });
   writeRows(fleet.platform, [customer("paper", { first_token_ms: 4000 })]);
-  if (source.policy === "cost-split") followLoad(fleet, workload);
-  prewarm(fleet, workload);
-  const rate = capacityOf(workload) * source.load;
-  const span = WARM_MS + source.spanMs;
-  const arrivals = arrivalsOf(workload, rate, span, source.seed);
+  if (options.policy === "cost-split") enableDynamicSplit(fleet, workload);
+  warmCaches(fleet, workload);
+  const rate = capacityOf(workload) * options.load;
+  const span = WARM_UP_MS + options.spanMs;
+  const arrivals = drawArrivals(workload, rate, span, options.seed);
   const tally = new Tally(fleet);
-  fleet.onOrder = (host, order) => tally.note(host, order);
+  fleet.onOrder = (host, order) => tally.noteOrder(host, order);
   fleet.onPrefilled = (attempt, tokens) => tally.notePrefill(attempt, tokens);
-  sendAll(fleet, workload, arrivals, source.seed, disturbance.cancelShare);
-  disturbance.apply(fleet, SETTLE_MS + WARM_MS, source.spanMs);
-  fleet.queue.push(SETTLE_MS + WARM_MS, () => tally.start());
-  fleet.runUntil(SETTLE_MS + span + COOL_MS);
-  const counted = arrivals.filter((one) => one.at >= WARM_MS);
+  scheduleCalls(
+    fleet,
+    workload,
+    arrivals,
+    options.seed,
+    disturbance.cancelShare,
+  );
+  disturbance.schedule(fleet, SETTLE_MS + WARM_UP_MS, options.spanMs);
+  fleet.queue.push(SETTLE_MS + WARM_UP_MS, () => tally.start());
+  fleet.runUntil(SETTLE_MS + span + DRAIN_MS);
+  const counted = arrivals.filter((arrival) => arrival.at >= WARM_UP_MS);
   return {
-    ...source,
-    ...tally.result(counted.length, source.spanMs),
-    bound: boundOf(workload, counted),
+    ...options,
+    ...tally.result(counted.length, options.spanMs),
+    bound: upperBoundOf(workload, counted),
   };
 }
 
-/** The split between prefill and decode follows the load. */
-function followLoad(fleet: Fleet, workload: Workload): void {
+/** Lets the split between prefill and decode follow the load. */
+function enableDynamicSplit(fleet: Fleet, workload: Workload): void {
   const key = `settings/split/${workload.service}`;
   writeRows(fleet.platform, [{ key, value: "{}" }]);
 }
 
-/** Fills the caches as a fleet has them that has run for a while. */
-function prewarm(fleet: Fleet, workload: Workload): void {
+/** Fills the prefix caches as in a fleet that has run for some time. */
+function warmCaches(fleet: Fleet, workload: Workload): void {
   const prefills = [...fleet.upstreams.values()]
-    .filter((one) => one.laid.role === "prefill");
+    .filter((upstream) => upstream.laid.role === "prefill");
   for (const kind of workload.kinds) {
     for (let group = kind.groups - 1; group >= 0; group -= 1) {
-      const tokens = sharedOf(kind, group);
+      const tokens = sharedTokensOf(kind, group);
       const { prefixes } = callerRequest("", {
         host: "",
         text: "",
@@ -152,37 +166,37 @@
         prefixTokens: tokens,
         promptTokens: tokens,
       });
-      const place = prefills[group % prefills.length];
-      if (place) storeBlocks(place.engine.cache, prefixes);
+      const upstream = prefills[group % prefills.length];
+      if (upstream) storeBlocks(upstream.engine.cache, prefixes);
     }
   }
 }
 
-function sendAll(
+function scheduleCalls(
   fleet: Fleet,
   workload: Workload,
   arrivals: readonly Arrival[],
   seed: number,
   cancelShare: number,
 ): void {
-  for (const [number, one] of arrivals.entries()) {
-    fleet.queue.push(SETTLE_MS + one.at, () => {
-      // The balancer sends nothing to a host that is gone.
+  for (const [number, arrival] of arrivals.entries()) {
+    fleet.queue.push(SETTLE_MS + arrival.at, () => {
+      // The load balancer sends nothing to a host that is down.
       const hosts = [...fleet.hosts.values()]
         .filter((host) => host.alive)
         .map((host) => host.id);
       const got = fleet.call({
         host: hosts[(number * 7 + seed) % hosts.length] ?? "",
-        customer: one.kind.customer,
+        customer: arrival.kind.customer,
         service: workload.service,
-        text: `${one.kind.name}-${number}`,
-        prefix: `${one.kind.name}-group-${one.group}`,
-        prefixTokens: one.sharedTokens,
-        promptTokens: one.promptTokens,
-        outputTokens: one.outputTokens,
+        text: `${arrival.kind.name}-${number}`,
+        prefix: `${arrival.kind.name}-group-${arrival.group}`,
+        prefixTokens: arrival.sharedTokens,
+        promptTokens: arrival.promptTokens,
+        outputTokens: arrival.outputTokens,
       });
-      const leaves = (number * 31 + seed) % 100 < cancelShare * 100;
-      if (leaves) fleet.after(150 + number % 700, () => fleet.hangUp(got));
+      const disconnects = (number * 31 + seed) % 100 < cancelShare * 100;
+      if (disconnects) fleet.after(150 + number % 700, () => fleet.hangUp(got));
     });
   }
 }
--- a/bench/policy/workloads.ts
+++ b/bench/policy/workloads.ts
@@ -1,54 +1,55 @@
-/** The three workloads of the policy bench. */
+/** The workloads of the policy benchmark. */
 import {
   DEFAULT_ENGINE,
   type EngineParameters,
 } from "../../src/standins/engine/mod.ts";
-import type { LaidUpstream, Layout } from "../../test/fake/layout.ts";
+import type { Layout, UpstreamLayout } from "../../test/fake/layout.ts";
 
-/** One kind of request of a workload. */
-export type Kind = {
+/** A kind of request of a workload. */
+export type RequestKind = {
   readonly name: string;
   readonly customer: string;
   /** Share of all requests. */
   readonly share: number;
   readonly prompt: readonly [number, number];
   readonly output: readonly [number, number];
-  /** Groups that share a leading part, with the part's size. */
+  /** The number of groups of requests with a shared prefix. */
   readonly groups: number;
+  /** The range of sizes of the shared prefix. */
   readonly sharedTokens: readonly [number, number];
-  /** Size of a prompt's own part, as a share of the shared part. */
-  readonly ownShare: number;
-  /** How skewed the groups are: Zipf's exponent. */
+  /** The size of a prompt's unique suffix relative to the shared prefix. */
+  readonly uniqueShare: number;
+  /** The Zipf exponent of the distribution over groups. */
   readonly skew: number;
   readonly firstTokenMs: number;
 };
 
-/** A workload: a fleet and what is asked of it. */
+/** A fleet and the requests that it gets. */
 export type Workload = {
   readonly name: string;
   readonly service: string;
   readonly layout: Layout;
   readonly engine: EngineParameters;
-  readonly kinds: readonly Kind[];
+  readonly kinds: readonly RequestKind[];
   /** The rate rises by this factor for a tenth of the time. */
   readonly burst: number;
 };
 
 const HALLS = ["hall-a", "hall-b", "hall-c"];
 
-function layout(
+function createLayout(
   service: string,
   prefills: number,
   decodes: number,
   engine: Partial<EngineParameters>,
   hosts: number,
 ): Layout {
-  const place = (n: number): string => HALLS[n % HALLS.length] ?? "";
+  const hallOf = (n: number): string => HALLS[n % HALLS.length] ?? "";
   const upstreams = Array.from(
     { length: prefills + decodes },
-    (_, n): LaidUpstream => ({
+    (_, n): UpstreamLayout => ({
       id: n < prefills ? `p-${n}` : `d-${n - prefills}`,
-      hall: place(n),
+      hall: hallOf(n),
       service,
       role: n < prefills ? "prefill" : "decode",
       engine,
@@ -57,7 +58,7 @@
   return {
     hosts: Array.from(
       { length: hosts },
-      (_, n) => ({ id: `host-${n}`, hall: place(n) }),
+      (_, n) => ({ id: `host-${n}`, hall: hallOf(n) }),
     ),
     upstreams,
   };
@@ -65,14 +66,14 @@
 
 const BENCH_ENGINE = { ...DEFAULT_ENGINE, chunkTokens: 8 };
 
-/** Recaps of long logs, captions and tags; bursts after final whistles. */
+/** Recaps of long logs, captions and tags, with bursts. */
 export function armor(hosts = 9, engine: Partial<EngineParameters> = {}) {
-  const its = { ...BENCH_ENGINE, cacheTokens: 120_000, ...engine };
+  const parameters = { ...BENCH_ENGINE, cacheTokens: 120_000, ...engine };
   return {
     name: "armor",
     service: "recap-llm",
-    layout: layout("recap-llm", 3, 5, its, hosts),
-    engine: its,
+    layout: createLayout("recap-llm", 3, 5, parameters, hosts),
+    engine: parameters,
     burst: 3,
     kinds: [
       {
@@ -83,7 +84,7 @@
         output: [150, 350],
         groups: 24,
         sharedTokens: [2500, 8000],
-        ownShare: 0.1,
+        uniqueShare: 0.1,
         skew: 0.8,
         firstTokenMs: 560,
       },
@@ -95,7 +96,7 @@
         output: [15, 40],
         groups: 0,
         sharedTokens: [0, 0],
-        ownShare: 0.1,
+        uniqueShare: 0.1,
         skew: 0,
         firstTokenMs: 560,
       },
@@ -107,7 +108,7 @@
         output: [2, 4],
         groups: 0,
         sharedTokens: [0, 0],
-        ownShare: 0.1,
+        uniqueShare: 0.1,
         skew: 0,
         firstTokenMs: 560,
       },
@@ -115,41 +116,41 @@
   } satisfies Workload;
 }
 
-/** The same with too many prefill upstreams. */
+/** The {@link armor} workload with too many prefill upstreams. */
 export function armorSkewed(
   hosts = 9,
   engine: Partial<EngineParameters> = {},
 ): Workload {
-  const usual = armor(hosts, engine);
-  const its = usual.engine;
-  const skewed = layout("recap-llm", 6, 2, its, hosts);
-  return { ...usual, name: "armor 6 + 2", layout: skewed };
+  const base = armor(hosts, engine);
+  const parameters = base.engine;
+  const skewed = createLayout("recap-llm", 6, 2, parameters, hosts);
+  return { ...base, name: "armor 6 + 2", layout: skewed };
 }
 
-/** Four times the fleet, for several pools. */
+/** The {@link armor} workload with four times the fleet, for several pools. */
 export function armorLarge(
   hosts = 9,
   engine: Partial<EngineParameters> = {},
 ): Workload {
-  const usual = armor(hosts, engine);
-  const [recap, ...others] = usual.kinds;
-  const its = usual.engine;
+  const base = armor(hosts, engine);
+  const [recap, ...others] = base.kinds;
+  const parameters = base.engine;
   return {
-    ...usual,
+    ...base,
     name: "armor x 4",
-    layout: layout("recap-llm", 12, 20, its, hosts * 2),
+    layout: createLayout("recap-llm", 12, 20, parameters, hosts * 2),
     kinds: recap ? [{ ...recap, groups: 96 }, ...others] : others,
   };
 }
 
-/** Long planning files read repeatedly, and checks at the counter. */
+/** Repeated requests with long files, and short checks. */
 export function forum(hosts = 9, engine: Partial<EngineParameters> = {}) {
-  const its = { ...BENCH_ENGINE, ...engine };
+  const parameters = { ...BENCH_ENGINE, ...engine };
   return {
     name: "forum",
     service: "jazykovy-model",
-    layout: layout("jazykovy-model", 6, 7, its, hosts),
-    engine: its,
+    layout: createLayout("jazykovy-model", 6, 7, parameters, hosts),
+    engine: parameters,
     burst: 2,
     kinds: [
       {
@@ -160,7 +161,7 @@
         output: [150, 400],
         groups: 40,
         sharedTokens: [7000, 28_000],
-        ownShare: 0.1,
+        uniqueShare: 0.1,
         skew: 0.9,
         firstTokenMs: 2000,
       },
@@ -172,7 +173,7 @@
         output: [4, 10],
         groups: 0,
         sharedTokens: [0, 0],
-        ownShare: 0.1,
+        uniqueShare: 0.1,
         skew: 0,
         firstTokenMs: 400,
       },
@@ -180,9 +181,9 @@
   } satisfies Workload;
 }
 
-/** The paper's: long prefixes, four to an upstream's cache. */
+/** Long prefixes, of which an upstream's cache holds four. */
 export function paper(hosts = 9, engine: Partial<EngineParameters> = {}) {
-  const its = {
+  const parameters = {
     ...BENCH_ENGINE,
     prefillRate: 20_480,
     cacheTokens: 220_000,
@@ -192,8 +193,8 @@
   return {
     name: "paper",
     service: "paper-llm",
-    layout: layout("paper-llm", 10, 6, its, hosts),
-    engine: its,
+    layout: createLayout("paper-llm", 10, 6, parameters, hosts),
+    engine: parameters,
     burst: 1,
     kinds: [{
       name: "code",
@@ -203,7 +204,7 @@
       output: [20, 60],
       groups: 40,
       sharedTokens: [54_784, 54_784],
-      ownShare: 0.027,
+      uniqueShare: 0.027,
       skew: 1,
       firstTokenMs: 4000,
     }],
--- a/bench/replicas/main.ts
+++ b/bench/replicas/main.ts
@@ -1,4 +1,4 @@
-/** What a revision without changes costs a host: `npm run bench:replicas`. */
+/** npm run bench:replicas: the cost of a listing revision without changes. */
 import type { ReplicaEntry } from "../../src/gateway/mod.ts";
 import { ReplicaTable } from "../../src/gateway/replicas/replica_table.ts";
 
@@ -17,10 +17,10 @@
   }));
 }
 
-/** Milliseconds for each of `ROUNDS` revisions. */
-function measure(take: (revision: number) => void): number {
+/** Returns the mean time of a revision in milliseconds. */
+function measure(apply: (revision: number) => void): number {
   const startedAt = performance.now();
-  for (let round = 0; round < ROUNDS; round++) take(round + 2);
+  for (let round = 0; round < ROUNDS; round++) apply(round + 2);
   return (performance.now() - startedAt) / ROUNDS;
 }
 
@@ -30,13 +30,13 @@
   listed.adopt({ revision: 1, entries });
   const followed = new ReplicaTable();
   followed.adopt({ revision: 1, entries });
-  const nothing = { since: 1, changed: [], gone: [], size: count };
-  const whole = measure((revision) => listed.adopt({ revision, entries }));
+  const emptyDelta = { since: 1, changed: [], gone: [], size: count };
+  const full = measure((revision) => listed.adopt({ revision, entries }));
   const delta = measure((revision) =>
-    followed.follow({ ...nothing, revision })
+    followed.follow({ ...emptyDelta, revision })
   );
   console.log(
-    `${count} replicas: whole listing ${whole.toFixed(3)} ms, ` +
+    `${count} replicas: whole listing ${full.toFixed(3)} ms, ` +
       `a delta without changes ${delta.toFixed(4)} ms`,
   );
 }
--- a/bench/report.ts
+++ b/bench/report.ts
@@ -1,7 +1,7 @@
-/** Writes one section of a generated page, leaving the others as they are. */
+/** Updates sections of generated pages. */
 import { existsSync, readFileSync, writeFileSync } from "node:fs";
 
-/** Replaces a named section, or adds it at the end. */
+/** Replaces a section of a page, or appends it. */
 export function writeSection(
   file: string,
   name: string,
--- a/bench/router/main.ts
+++ b/bench/router/main.ts
@@ -1,16 +1,16 @@
 /**
- * npm run bench:router: what an entry host adds over loopback, against calling
- * the engine stand-in directly, and requests a second of one entry host.
+ * npm run bench:router: the latency that an entry host adds to direct calls of
+ * the engine stand-in over loopback, and the throughput of one entry host.
  */
 import { execFileSync } from "node:child_process";
 import { table } from "../policy/tables.ts";
 import { writeSection } from "../report.ts";
 import { API_KEY, Processes } from "../../test/process/processes.ts";
 
-const WARM = 100;
+const WARM_UP_RUNS = 100;
 const RUNS = 400;
-const FLOOD = 1500;
-const AT_ONCE = 32;
+const LOAD_REQUESTS = 1500;
+const CONCURRENCY = 32;
 
 type Times = { readonly p50: number; readonly p95: number };
 
@@ -21,15 +21,18 @@
   .finally(() => fleet.stop());
 
 const rows = [
-  ["one token, engine directly, p50 / p95 ms", pair(direct)],
-  ["one token, by an entry host, p50 / p95 ms", pair(routed)],
+  ["one token, engine directly, p50 / p95 ms", formatTimes(direct)],
+  ["one token, by an entry host, p50 / p95 ms", formatTimes(routed)],
   ["added by the entry host, p50 ms", (routed.p50 - direct.p50).toFixed(2)],
   ["ratio of p50", (routed.p50 / direct.p50).toFixed(2)],
   [
     "requests a second, 32 at once, one entry host",
-    (FLOOD / seconds).toFixed(0),
+    (LOAD_REQUESTS / seconds).toFixed(0),
+  ],
+  [
+    "requests a second of its processor time",
+    (LOAD_REQUESTS / cpuSeconds).toFixed(0),
   ],
-  ["requests a second of its processor time", (FLOOD / cpuSeconds).toFixed(0)],
 ];
 const text = table(["what", "measured"], rows);
 console.log(text);
@@ -48,15 +51,15 @@
   ].join("\n"),
 );
 
-/** Times one by one, then a flood. */
+/** Measures sequential requests, then concurrent ones. */
 async function measure() {
   const direct = await timesOf(() => toEngine());
   const routed = await timesOf(() => toRouter());
-  const before = cpuOf("brest-1");
+  const before = cpuSecondsOf("brest-1");
   const start = performance.now();
-  await flood();
+  await sendLoad();
   const seconds = (performance.now() - start) / 1000;
-  const cpuSeconds = cpuOf("brest-1") - before;
+  const cpuSeconds = cpuSecondsOf("brest-1") - before;
   return { direct, routed, seconds, cpuSeconds };
 }
 
@@ -66,16 +69,16 @@
 }
 
 async function toEngine(): Promise<void> {
-  const answer = await fetch(`http://${engine}/v1/completions`, {
+  const response = await fetch(`http://${engine}/v1/completions`, {
     method: "POST",
     headers: { "x-request-id": `bench-${Math.random()}` },
     body: body(),
   });
-  await answer.text();
+  await response.text();
 }
 
 async function toRouter(): Promise<void> {
-  const answer = await fetch(
+  const response = await fetch(
     `http://${fleet.callers("brest")}/v1/completions`,
     {
       method: "POST",
@@ -83,11 +86,11 @@
       body: body(),
     },
   );
-  await answer.text();
+  await response.text();
 }
 
 async function timesOf(run: () => Promise<void>): Promise<Times> {
-  for (let n = 0; n < WARM; n += 1) await run();
+  for (let n = 0; n < WARM_UP_RUNS; n += 1) await run();
   const times: number[] = [];
   for (let n = 0; n < RUNS; n += 1) {
     const from = performance.now();
@@ -98,9 +101,9 @@
   return { p50: times[RUNS * 0.5] ?? 0, p95: times[RUNS * 0.95] ?? 0 };
 }
 
-async function flood(): Promise<void> {
-  let left = FLOOD;
-  await Promise.all(Array.from({ length: AT_ONCE }, async () => {
+async function sendLoad(): Promise<void> {
+  let left = LOAD_REQUESTS;
+  await Promise.all(Array.from({ length: CONCURRENCY }, async () => {
     while (left > 0) {
       left -= 1;
       await toRouter();
@@ -108,13 +111,13 @@
   }));
 }
 
-/** Processor time that a program has used so far, in seconds. */
-function cpuOf(name: string): number {
+/** Returns the CPU time that a program has used, in seconds. */
+function cpuSecondsOf(name: string): number {
   const pid = fleet.programs.get(name)?.child.pid;
   const args = ["-o", "cputimes=", "-p", String(pid)];
   return Number(execFileSync("ps", args, { encoding: "utf8" }));
 }
 
-function pair(times: Times): string {
+function formatTimes(times: Times): string {
   return `${times.p50.toFixed(2)} / ${times.p95.toFixed(2)}`;
 }
