--- a/test/fake/carry.ts
+++ b/test/fake/carry.ts
@@ -96,33 +96,35 @@
 }>;
 
 function reply(fleet: Fleet, order: Reply): void {
-  const got = fleet.got.get(order.request);
-  if (!got || got.gone || got.broken || got.endedAt !== undefined) return;
+  const record = fleet.got.get(order.request);
+  if (!record || record.gone || record.broken || record.endedAt !== undefined) {
+    return;
+  }
   switch (order.type) {
     case "replyChunk":
-      got.firstAt ??= fleet.now;
-      got.text += order.text;
-      got.tokens += order.tokens;
+      record.firstAt ??= fleet.now;
+      record.text += order.text;
+      record.tokens += order.tokens;
       return;
     case "replyEnd":
-      return endCall(fleet, got, true);
+      return endCall(fleet, record, true);
     case "replyPlain":
-      got.text = order.body;
-      got.status = order.status;
-      return endCall(fleet, got, true);
+      record.text = order.body;
+      record.status = order.status;
+      return endCall(fleet, record, true);
     case "replyError":
-      got.error = order.error;
-      got.ran = order.ran;
+      record.error = order.error;
+      record.ran = order.ran;
       if (order.retryAfterSeconds !== undefined) {
-        got.retryAfterSeconds = order.retryAfterSeconds;
+        record.retryAfterSeconds = order.retryAfterSeconds;
       }
-      return endCall(fleet, got, false);
+      return endCall(fleet, record, false);
   }
 }
 
-function endCall(fleet: Fleet, got: Got, isComplete: boolean): void {
-  got.endedAt = fleet.now;
-  got.whole = isComplete;
+function endCall(fleet: Fleet, record: Got, isComplete: boolean): void {
+  record.endedAt = fleet.now;
+  record.whole = isComplete;
 }
 
 type WorkOrder = Extract<Order, {
--- a/test/fake/fleet.ts
+++ b/test/fake/fleet.ts
@@ -135,7 +135,7 @@
     this.runUntil(this.now + span);
   }
 
-  /** Delivers an event to a host; a frozen host handles it when it resumes. */
+  /** Delivers an event to a host; a suspended host handles it when it resumes. */
   deliver(host: FakeHost, event: Event): void {
     if (!host.alive) return;
     host.inbox.push(event);
@@ -176,7 +176,7 @@
     host.callCount += 1;
     const owner = { host: host.id, incarnation: host.incarnation };
     const id = requestId(owner, host.callCount);
-    const got: Got = {
+    const record: Got = {
       id,
       call,
       at: this.now,
@@ -186,17 +186,17 @@
       gone: false,
       broken: !host.alive,
     };
-    this.got.set(id, got);
+    this.got.set(id, record);
     this.deliver(host, callerRequest(id, call));
-    return got;
+    return record;
   }
 
   /** Disconnects a caller before its response ends. */
-  hangUp(got: Got): void {
-    if (got.endedAt !== undefined) return;
-    got.gone = true;
-    const host = this.host(got.call.host);
-    this.deliver(host, { type: "callerGone", request: got.id });
+  hangUp(record: Got): void {
+    if (record.endedAt !== undefined) return;
+    record.gone = true;
+    const host = this.host(record.call.host);
+    this.deliver(host, { type: "callerGone", request: record.id });
   }
 
   /** Kills a host, which loses its state. */
@@ -205,9 +205,9 @@
     host.alive = false;
     host.frozen = false;
     host.inbox = [];
-    for (const got of this.got.values()) {
-      const isPending = got.call.host === id && got.endedAt === undefined;
-      if (isPending) got.broken = true;
+    for (const record of this.got.values()) {
+      const isPending = record.call.host === id && record.endedAt === undefined;
+      if (isPending) record.broken = true;
     }
   }
 
@@ -224,9 +224,9 @@
   }
 
   /** Suspends a host, or resumes it with its state unchanged. */
-  freeze(id: string, frozen: boolean): void {
+  freeze(id: string, isSuspended: boolean): void {
     const host = this.host(id);
-    host.frozen = frozen;
-    if (!frozen && host.alive) this.deliver(host, { type: "tick" });
+    host.frozen = isSuspended;
+    if (!isSuspended && host.alive) this.deliver(host, { type: "tick" });
   }
 }
--- a/test/fake/upstream.ts
+++ b/test/fake/upstream.ts
@@ -68,10 +68,10 @@
   #nextUpdateAt = Infinity;
   #pages = 0;
 
-  constructor(fleet: Fleet, laid: UpstreamLayout) {
+  constructor(fleet: Fleet, layout: UpstreamLayout) {
     this.#fleet = fleet;
-    this.laid = laid;
-    this.checksOrders = laid.checksOrders ?? true;
+    this.laid = layout;
+    this.checksOrders = layout.checksOrders ?? true;
     this.engine = this.#createEngine();
     this.plain = this.#createPlain();
   }
