--- a/bench/capacity/main.ts
+++ b/bench/capacity/main.ts
@@ -5,7 +5,7 @@
  */
 import { readFileSync, writeFileSync } from "node:fs";
 import * as z from "zod";
-import { readSweep, tableOf } from "./sweep.ts";
+import { formatTable, readSweep } from "./sweep.ts";
 
 const PAGE = "docs/CAPACITY.md";
 /** The number of hosts of the target size. */
@@ -33,7 +33,7 @@
     head.slice(0, 7)
   }.`;
   const text = `${start}\n\n${source}\n\n${
-    tableOf(readSweep(digest), HOSTS)
+    formatTable(readSweep(digest), HOSTS)
   }\n\n`;
   page = page.slice(0, from) + text + page.slice(to);
   console.log(`${site}: ${id}`);
--- a/bench/capacity/sweep.ts
+++ b/bench/capacity/sweep.ts
@@ -60,7 +60,7 @@
 }
 
 /** Extrapolates the busiest host's value to another number of hosts. */
-export function carriedTo(
+export function extrapolate(
   hosts: number,
   { cells, power }: SweepRow,
   sizes: readonly number[],
@@ -70,12 +70,12 @@
 }
 
 /** Formats a sweep as a Markdown table. */
-export function tableOf(sweep: Sweep, hosts: number): string {
+export function formatTable(sweep: Sweep, hosts: number): string {
   const { sizes, rows, days } = sweep;
   const head = ["", ...sizes.map(String), "power", `busiest at ${hosts}`];
   const lines = rows.map((row) => {
     const cells = row.cells.map(({ middle, most }) => `${middle} / ${most}`);
-    const carried = carriedTo(hosts, row, sizes).toPrecision(3);
+    const carried = extrapolate(hosts, row, sizes).toPrecision(3);
     return [row.name, ...cells, String(row.power), String(Number(carried))];
   });
   const worths = days.map(({ worth, broken }) =>
--- a/bench/core/gossip.ts
+++ b/bench/core/gossip.ts
@@ -1,6 +1,6 @@
 /** Measures the age of heartbeats in a region and the traffic of gossip. */
 import { EnvelopeCodec } from "../../src/core/mod.ts";
-import { Fleet } from "../../test/fake/fleet.ts";
+import { FakeFleet } from "../../test/fake/fleet.ts";
 
 /** The result of {@link measureGossip}. */
 export type GossipResult = {
@@ -27,7 +27,7 @@
     upstreams: [],
   };
   const options = { gossipFanout: fanout, hostTimeoutMs: 60_000 };
-  const fleet = new Fleet({ layout, seed: 3, options });
+  const fleet = new FakeFleet({ layout, seed: 3, options });
   let bytes = 0;
   let messages = 0;
   fleet.onOrder = (host, order) => {
--- a/bench/core/slopes.ts
+++ b/bench/core/slopes.ts
@@ -2,7 +2,7 @@
  * Measures how time, memory and message sizes grow with the size of a fleet.
  */
 import { EnvelopeCodec, type Event, step } from "../../src/core/mod.ts";
-import { customer } from "../../test/fake/seed_rows.ts";
+import { customerRow } from "../../test/fake/seed_rows.ts";
 import {
   fitLine,
   type Line,
@@ -136,7 +136,7 @@
 }
 
 function keyHashOf(name: string): string {
-  const row = JSON.parse(customer(name, {}).value ?? "{}") as {
+  const row = JSON.parse(customerRow(name, {}).value ?? "{}") as {
     key_hashes: string[];
   };
   return row.key_hashes[0] ?? "";
@@ -148,7 +148,9 @@
     const world = createWorldOfSize(SMALL);
     for (let n = 0; n < customers; n += 100) {
       const rows = Array.from({ length: 100 }, (_, k) => {
-        const { key, value } = customer(`customer-${n + k}`, { priority: 5 });
+        const { key, value } = customerRow(`customer-${n + k}`, {
+          priority: 5,
+        });
         return { key, version: 10 + n + k, value: value ?? "" };
       });
       const value = { after: 0, upTo: 109 + n, rows };
--- a/bench/crashes/main.ts
+++ b/bench/crashes/main.ts
@@ -4,7 +4,7 @@
 import { fingerprintOf } from "../../src/gateway/crashes/fingerprint.ts";
 
 const ROUNDS = 200;
-const LIMITS = { most: 3, lifeMs: 300_000 };
+const LIMITS = { crashThreshold: 3, ttlMs: 300_000 };
 
 /** Returns the mean time of a round in milliseconds. */
 function measure(work: (round: number) => void): number {
@@ -37,10 +37,10 @@
     { length: requests },
     (_, at) => crash(at, `i-${at % 50}`),
   );
-  table.take({ records, acquittals: [] }, 0);
+  table.merge({ records, clearances: [] }, 0);
   const ms = measure((round) => {
     const record = crash(round % requests, `j-${round}`);
-    table.take({ records: [record], acquittals: [] }, 0);
+    table.merge({ records: [record], clearances: [] }, 0);
   });
   const size = JSON.stringify(encodeCrashes(table.all(0), 0)).length;
   console.log(
--- a/bench/limits/main.ts
+++ b/bench/limits/main.ts
@@ -25,12 +25,12 @@
 const emptyTable = new LimitTable();
 const observeUs = measure((round) => {
   const incarnation = nameOf(round % REPLICAS);
-  emptyTable.hear({ incarnation, header: NONE, sentAt: round }, round);
+  emptyTable.observe({ incarnation, header: NONE, sentAt: round }, round);
 });
 console.log(`no limit known: ${observeUs.toFixed(2)} µs an answer`);
 
 const fullTable = new LimitTable();
-fullTable.take(Array.from({ length: REPLICAS }, (_, at) => ({
+fullTable.merge(Array.from({ length: REPLICAS }, (_, at) => ({
   incarnation: nameOf(at),
   perSecond: PER_SECOND,
   at: 0,
@@ -43,7 +43,7 @@
 
 const ledger = new QuotaLedger({
   allowance: ({ rate }, share) => limitAllowance(rate.perSecond, share),
-  memoryMs: () => 5000,
+  retentionMs: () => 5000,
   knownHosts: () => HOSTS,
 });
 const shards = Array.from({ length: SHARD_COUNT }, (_, at) => at);
@@ -53,7 +53,7 @@
 }
 let granted = 0;
 const acquireUs = measure((round) => {
-  const taken = ledger.take({
+  const taken = ledger.acquire({
     customer: nameOf(round % REPLICAS),
     units: 1,
     rate: { perSecond: PER_SECOND, burst: 0 },
--- a/bench/planner/main.ts
+++ b/bench/planner/main.ts
@@ -3,7 +3,7 @@
  * be placed, by numbers of replicas and of queued requests.
  */
 import { ReplicaStage } from "../../src/gateway/mod.ts";
-import type { PlanAsk } from "../../src/gateway/planning/messages.ts";
+import type { PlanRequest } from "../../src/gateway/planning/messages.ts";
 import { Planner } from "../../src/gateway/planning/planner.ts";
 import type { PlannerView } from "../../src/gateway/planning/view.ts";
 import { table } from "../policy/tables.ts";
@@ -80,11 +80,11 @@
     noteTry: () => undefined,
     noteSuccess: () => undefined,
     random: () => 0,
-    farCharge: 0.1,
+    remoteHallPenalty: 0.1,
   };
 }
 
-function planRequest(id: string, tokens: number): PlanAsk {
+function planRequest(id: string, tokens: number): PlanRequest {
   return {
     type: "ask",
     id,
--- a/bench/policy/arrivals.ts
+++ b/bench/policy/arrivals.ts
@@ -1,6 +1,6 @@
 /** Draws the arrivals of a workload and computes the capacity of its fleet. */
 import { type RandomGenerator, xoroshiro128plus } from "pure-rand";
-import { draw } from "../../src/core/mod.ts";
+import { randomInt } from "../../src/core/mod.ts";
 import type { RequestKind, Workload } from "./workloads.ts";
 
 /** A request and the time at which it is sent. */
@@ -18,7 +18,7 @@
   random: RandomGenerator,
   [low, high]: readonly [number, number],
 ): number {
-  return low + draw(random, high - low + 1);
+  return low + randomInt(random, high - low + 1);
 }
 
 /** Draws a group from a Zipf distribution. */
@@ -28,7 +28,7 @@
     (_, n) => 1 / (n + 1) ** kind.skew,
   );
   const total = weights.reduce((sum, weight) => sum + weight, 0);
-  let left = draw(random, 1_000_000) / 1_000_000 * total;
+  let left = randomInt(random, 1_000_000) / 1_000_000 * total;
   for (const [group, weight] of weights.entries()) {
     left -= weight;
     if (left < 0) return group;
@@ -54,7 +54,7 @@
   const baseFactor = 1 / (0.9 + 0.1 * workload.burst);
   let at = 0;
   for (;;) {
-    const unit = (draw(random, 1_000_000) + 1) / 1_000_001;
+    const unit = (randomInt(random, 1_000_000) + 1) / 1_000_001;
     const inBurst = at % 20_000 >= 18_000;
     const factor = baseFactor * (inBurst ? workload.burst : 1);
     at += -Math.log(unit) / (rate * factor) * 1000;
@@ -68,7 +68,7 @@
   workload: Workload,
   at: number,
 ): Arrival {
-  let left = draw(random, 1_000_000) / 1_000_000;
+  let left = randomInt(random, 1_000_000) / 1_000_000;
   const kind =
     workload.kinds.find((candidate) => (left -= candidate.share) < 0) ??
       workload.kinds[0];
--- a/bench/policy/disturbances.ts
+++ b/bench/policy/disturbances.ts
@@ -1,6 +1,6 @@
 /** Faults that are injected into a trial. */
 import type { EngineParameters } from "../../src/standins/engine/mod.ts";
-import type { Fleet } from "../../test/fake/fleet.ts";
+import type { FakeFleet } from "../../test/fake/fleet.ts";
 import { PLATFORM } from "../../test/fake/network.ts";
 
 export type Disturbance = {
@@ -9,7 +9,7 @@
   /** The share of callers that disconnect early. */
   readonly cancelShare: number;
   /** Schedules the faults in the period of `span` milliseconds after `from`. */
-  schedule(fleet: Fleet, from: number, span: number): void;
+  schedule(fleet: FakeFleet, from: number, span: number): void;
 };
 
 const NO_DISTURBANCE: Disturbance = {
@@ -19,16 +19,16 @@
 };
 
 function loseCacheEvents(share: number): Disturbance {
-  const apply = (fleet: Fleet): void => {
+  const apply = (fleet: FakeFleet): void => {
     for (const upstream of fleet.upstreams.values()) {
-      upstream.dropCacheShare = share;
+      upstream.cacheEventLossRate = share;
     }
   };
   return { ...NO_DISTURBANCE, schedule: apply };
 }
 
 function disturbOnce(
-  run: (fleet: Fleet) => void,
+  run: (fleet: FakeFleet) => void,
   share: number,
   engine: Partial<EngineParameters> = {},
 ): Disturbance {
@@ -51,11 +51,11 @@
     fleet.upstream("p-0").engine.slowdown = 2;
   }, 0.2),
   "one prefill dies": disturbOnce((fleet) => {
-    fleet.upstream("p-0").die();
+    fleet.upstream("p-0").crash();
     fleet.after(10_000, () => fleet.upstream("p-0").restart());
   }, 0.45),
   "one decode dies": disturbOnce((fleet) => {
-    fleet.upstream("d-0").die();
+    fleet.upstream("d-0").crash();
     fleet.after(10_000, () => fleet.upstream("d-0").restart());
   }, 0.45),
   "10% of callers leave": { ...NO_DISTURBANCE, cancelShare: 0.1 },
@@ -65,7 +65,7 @@
   "a hall is cut 15 s": disturbOnce((fleet) => {
     const others = ["hall-b", "hall-c", PLATFORM];
     for (const other of others) fleet.network.cut("hall-a", other);
-    fleet.after(15_000, () => fleet.network.healAll());
+    fleet.after(15_000, () => fleet.network.restoreAll());
   }, 0.4),
   "a planner dies": disturbOnce((fleet) => {
     const [host] = fleet.hosts.values();
--- a/bench/policy/room.ts
+++ b/bench/policy/room.ts
@@ -3,8 +3,8 @@
  * been served.
  */
 import { type Engine, hitBlocks } from "../../src/standins/engine/mod.ts";
-import { callerRequest, type Got } from "../../test/fake/callers.ts";
-import type { Fleet } from "../../test/fake/fleet.ts";
+import { callerRequest, type CallRecord } from "../../test/fake/callers.ts";
+import type { FakeFleet } from "../../test/fake/fleet.ts";
 
 /** The concurrent requests that an engine decodes within 35 ms per token. */
 const MAX_RUNNING = 40;
@@ -47,17 +47,21 @@
 }
 
 /** Whether the first token of a request could have arrived within `leftMs`. */
-export function couldServe(fleet: Fleet, got: Got, leftMs: number): boolean {
+export function couldServe(
+  fleet: FakeFleet,
+  got: CallRecord,
+  leftMs: number,
+): boolean {
   const { now } = fleet;
   const { prefixes, promptTokens } = callerRequest(got.id, got.call);
   const upstreams = [...fleet.upstreams.values()];
-  const hasFreeSlot = upstreams.some(({ laid, engine }) => {
+  const hasFreeSlot = upstreams.some(({ layout: laid, engine }) => {
     const inUse = engine.running.size + engine.fetching.size;
     return laid.role === "decode" && inUse < MAX_RUNNING;
   });
   if (!hasFreeSlot) return false;
   const engines = upstreams
-    .filter(({ laid }) => laid.role === "prefill")
+    .filter(({ layout: laid }) => laid.role === "prefill")
     .map(({ engine }) => engine);
   const aheadMs = queuedWorkMs(fleet, engines);
   return engines.some((engine) => {
@@ -70,7 +74,7 @@
  * Returns the time that the prefill engines need for the requests queued at
  * planners.
  */
-function queuedWorkMs(fleet: Fleet, engines: readonly Engine[]): number {
+function queuedWorkMs(fleet: FakeFleet, engines: readonly Engine[]): number {
   let waitMs = 0;
   for (const { world } of fleet.hosts.values()) {
     const perToken = world.options.transferMsPerToken;
--- a/bench/policy/tally.ts
+++ b/bench/policy/tally.ts
@@ -1,7 +1,7 @@
 /** Collects statistics of a fake fleet. */
 import hdr from "hdr-histogram-js";
 import { EnvelopeCodec, type Order } from "../../src/core/mod.ts";
-import type { FakeHost, Fleet } from "../../test/fake/fleet.ts";
+import type { FakeFleet, FakeHost } from "../../test/fake/fleet.ts";
 import { couldServe } from "./room.ts";
 
 /** The collected statistics. */
@@ -26,7 +26,7 @@
 
 /** Collects statistics of a fleet from {@link Tally.start} on. */
 export class Tally {
-  readonly #fleet: Fleet;
+  readonly #fleet: FakeFleet;
   readonly #first = newHistogram();
   readonly #between = newHistogram();
   readonly #misses: Record<string, number> = {};
@@ -40,7 +40,7 @@
   #bytes = 0;
   #before = { prefilled: 0, thrown: 0, hits: 0, prompts: 0 };
 
-  constructor(fleet: Fleet) {
+  constructor(fleet: FakeFleet) {
     this.#fleet = fleet;
   }
 
@@ -85,8 +85,8 @@
   }
 
   #isCounted(request: string): boolean {
-    const got = this.#fleet.got.get(request);
-    return got !== undefined && got.at >= this.#startedAt;
+    const got = this.#fleet.callRecords.get(request);
+    return got !== undefined && got.sentAt >= this.#startedAt;
   }
 
   #noteError(order: Extract<Order, { type: "replyError" }>): void {
@@ -94,9 +94,10 @@
     this.#miss(order.error);
     if (order.error !== "overloaded") return;
     this.#refused += 1;
-    const got = this.#fleet.got.get(order.request);
+    const got = this.#fleet.callRecords.get(order.request);
     if (!got) return;
-    const left = got.at + this.#targetOf(got.call.customer) - this.#fleet.now;
+    const left = got.sentAt + this.#targetOf(got.call.customer) -
+      this.#fleet.now;
     if (couldServe(this.#fleet, got, left)) this.#refusedWrongly += 1;
   }
 
@@ -106,10 +107,10 @@
 
   #noteEnd(id: string): void {
     if (!this.#isCounted(id)) return;
-    const got = this.#fleet.got.get(id);
-    if (!got || got.gone) return;
-    const firstMs = (got.firstAt ?? Infinity) - got.at;
-    const span = this.#fleet.now - (got.firstAt ?? this.#fleet.now);
+    const got = this.#fleet.callRecords.get(id);
+    if (!got || got.isCancelled) return;
+    const firstMs = (got.firstTokenAt ?? Infinity) - got.sentAt;
+    const span = this.#fleet.now - (got.firstTokenAt ?? this.#fleet.now);
     const tokens = got.call.outputTokens ?? 1;
     const betweenMs = tokens > 1 ? span / (tokens - 1) : 0;
     record(this.#first, firstMs);
@@ -127,8 +128,9 @@
 
   /** Returns the statistics since the start. */
   result(requests: number, spanMs: number): TallyResult {
-    const cancelled = [...this.#fleet.got.values()]
-      .filter((call) => call.gone && call.at >= this.#startedAt).length;
+    const cancelled = [...this.#fleet.callRecords.values()]
+      .filter((call) => call.isCancelled && call.sentAt >= this.#startedAt)
+      .length;
     const after = this.#records();
     const prefilled = after.prefilled - this.#before.prefilled;
     const prompts = after.prompts - this.#before.prompts;
--- a/bench/policy/trial.ts
+++ b/bench/policy/trial.ts
@@ -11,8 +11,8 @@
 } from "../../src/core/mod.ts";
 import { storeBlocks } from "../../src/standins/engine/mod.ts";
 import { callerRequest } from "../../test/fake/callers.ts";
-import { Fleet } from "../../test/fake/fleet.ts";
-import { customer } from "../../test/fake/seed_rows.ts";
+import { FakeFleet } from "../../test/fake/fleet.ts";
+import { customerRow } from "../../test/fake/seed_rows.ts";
 import { writeRows } from "../../src/standins/platform/model.ts";
 import {
   type Arrival,
@@ -113,13 +113,13 @@
   if (!disturbance) throw new Error(`No disturbance ${options.disturbance}`);
   const createWorkload = WORKLOADS[options.workload];
   const workload: Workload = createWorkload(options.hosts, disturbance.engine);
-  const fleet = new Fleet({
+  const fleet = new FakeFleet({
     layout: workload.layout,
     seed: options.seed,
     policy: policyOf(options.policy),
     options: optionsOf(options, workload),
   });
-  writeRows(fleet.platform, [customer("paper", { first_token_ms: 4000 })]);
+  writeRows(fleet.platform, [customerRow("paper", { first_token_ms: 4000 })]);
   if (options.policy === "cost-split") enableDynamicSplit(fleet, workload);
   warmCaches(fleet, workload);
   const rate = capacityOf(workload) * options.load;
@@ -147,15 +147,15 @@
 }
 
 /** Lets the split between prefill and decode follow the load. */
-function enableDynamicSplit(fleet: Fleet, workload: Workload): void {
+function enableDynamicSplit(fleet: FakeFleet, workload: Workload): void {
   const key = `settings/split/${workload.service}`;
   writeRows(fleet.platform, [{ key, value: "{}" }]);
 }
 
 /** Fills the prefix caches as in a fleet that has run for some time. */
-function warmCaches(fleet: Fleet, workload: Workload): void {
+function warmCaches(fleet: FakeFleet, workload: Workload): void {
   const prefills = [...fleet.upstreams.values()]
-    .filter((upstream) => upstream.laid.role === "prefill");
+    .filter((upstream) => upstream.layout.role === "prefill");
   for (const kind of workload.kinds) {
     for (let group = kind.groups - 1; group >= 0; group -= 1) {
       const tokens = sharedTokensOf(kind, group);
@@ -173,7 +173,7 @@
 }
 
 function scheduleCalls(
-  fleet: Fleet,
+  fleet: FakeFleet,
   workload: Workload,
   arrivals: readonly Arrival[],
   seed: number,
@@ -196,7 +196,9 @@
         outputTokens: arrival.outputTokens,
       });
       const disconnects = (number * 31 + seed) % 100 < cancelShare * 100;
-      if (disconnects) fleet.after(150 + number % 700, () => fleet.hangUp(got));
+      if (disconnects) {
+        fleet.after(150 + number % 700, () => fleet.cancelCall(got));
+      }
     });
   }
 }
--- a/bench/replicas/main.ts
+++ b/bench/replicas/main.ts
@@ -33,7 +33,7 @@
   const emptyDelta = { since: 1, changed: [], gone: [], size: count };
   const full = measure((revision) => listed.adopt({ revision, entries }));
   const delta = measure((revision) =>
-    followed.follow({ ...emptyDelta, revision })
+    followed.applyDelta({ ...emptyDelta, revision })
   );
   console.log(
     `${count} replicas: whole listing ${full.toFixed(3)} ms, ` +
--- a/src/core/mod.ts
+++ b/src/core/mod.ts
@@ -17,7 +17,7 @@
 export { Role } from "./tables/upstreams.ts";
 export type { Setup } from "./tables/settings.ts";
 export { BLOCK_TOKENS } from "./systems/upstreams.ts";
-export { draw } from "../util/chance.ts";
+export { randomInt } from "../util/random.ts";
 export { rendezvous } from "../util/rendezvous.ts";
 export {
   type Envelope,
--- a/src/core/systems/host_list.ts
+++ b/src/core/systems/host_list.ts
@@ -2,8 +2,8 @@
 import type { Milliseconds } from "../../util/units.ts";
 import type { HostList, ListEntry } from "../../messages/peer.ts";
 import { Role, type Upstream } from "../tables/upstreams.ts";
-import { emptyFit } from "../../util/line_fit.ts";
-import { jitter } from "../../util/chance.ts";
+import { createLineFit } from "../../util/line_fit.ts";
+import { jitter } from "../../util/random.ts";
 import { order, type World } from "../world.ts";
 import { dividePools } from "./pools.ts";
 
@@ -92,7 +92,7 @@
     prefillRate: entry.prefillRate,
     cacheTokens: entry.cacheTokens,
     reportedAt: -Infinity,
-    step: emptyFit(),
+    step: createLineFit(),
     prefixes: new Map(),
     cacheSequence: 0,
     cacheTrust: 1,
--- a/src/core/systems/membership.ts
+++ b/src/core/systems/membership.ts
@@ -3,7 +3,7 @@
 import type { Milliseconds } from "../../util/units.ts";
 import type { Gossip, Heartbeat } from "../../messages/peer.ts";
 import type { Host } from "../tables/hosts.ts";
-import { draw, jitter } from "../../util/chance.ts";
+import { jitter, randomInt } from "../../util/random.ts";
 import { rendezvous } from "../../util/rendezvous.ts";
 import { log, type World } from "../world.ts";
 import { tell } from "./peers.ts";
@@ -55,7 +55,7 @@
   const near = others.filter((one) => one.region === world.self.region);
   const far = others.filter((one) => one.region !== world.self.region);
   const peers = drawSome(world, near, world.options.gossipFanout);
-  if (far.length > 0 && draw(world.random, OTHER_REGION_TURN) === 0) {
+  if (far.length > 0 && randomInt(world.random, OTHER_REGION_TURN) === 0) {
     peers.push(...drawSome(world, far, 1));
   }
   return peers.map((one) => one.id);
@@ -65,7 +65,7 @@
   const left = [...from];
   const drawn: Host[] = [];
   while (left.length > 0 && drawn.length < most) {
-    drawn.push(...left.splice(draw(world.random, left.length), 1));
+    drawn.push(...left.splice(randomInt(world.random, left.length), 1));
   }
   return drawn;
 }
--- a/src/core/systems/settings.ts
+++ b/src/core/systems/settings.ts
@@ -12,7 +12,7 @@
 import { SplitSchema } from "../setups/split.ts";
 import { TemplateSchema } from "../setups/template.ts";
 import type { Settings, SettingsRow } from "../tables/settings.ts";
-import { jitter } from "../../util/chance.ts";
+import { jitter } from "../../util/random.ts";
 import { count, enabled, log, order, type World } from "../world.ts";
 import { openCall } from "./calls.ts";
 import { tell } from "./peers.ts";
--- a/src/core/systems/upstreams.ts
+++ b/src/core/systems/upstreams.ts
@@ -6,8 +6,8 @@
 import { Role, type Upstream } from "../tables/upstreams.ts";
 import {
   addSample,
-  emptyFit,
-  fittedLine,
+  computeLine,
+  createLineFit,
   type Line,
 } from "../../util/line_fit.ts";
 import { count, enabled, log, order, type World } from "../world.ts";
@@ -104,7 +104,7 @@
 function forgetState(world: World, upstream: Upstream): void {
   upstream.prefixes.clear();
   upstream.cacheSequence = 0;
-  upstream.step = emptyFit();
+  upstream.step = createLineFit();
   log(world, {
     part: "upstreams",
     sentence: "An upstream has restarted",
@@ -114,7 +114,7 @@
 
 /** The line through an upstream's step times; undefined without spread. */
 export function stepLine(upstream: Upstream): Line | undefined {
-  return fittedLine(upstream.step);
+  return computeLine(upstream.step);
 }
 
 /** A page of cache events. */
--- a/src/gateway/answers.ts
+++ b/src/gateway/answers.ts
@@ -135,7 +135,7 @@
  * The error to report to the caller: once a request may have run, only errors
  * that don't claim the opposite.
  */
-export function truthfulError(
+export function errorForCaller(
   error: GatewayError,
   mayHaveRun: boolean,
 ): GatewayError {
--- a/src/gateway/callers/quota_hold.ts
+++ b/src/gateway/callers/quota_acquisition.ts
@@ -15,7 +15,7 @@
 /** Options of {@link acquireQuota}. */
 export type QuotaAcquisitionOptions = {
   readonly clock: Clock;
-  readonly quotas: Pick<QuotaMember, "take">;
+  readonly quotas: Pick<QuotaMember, "acquire">;
   /** Version of the configuration that defines the quota. */
   readonly version: number;
 };
@@ -44,7 +44,7 @@
   const { name, quota } = customer;
   const { perSecond, burst } = quota;
   const units = quotaUnits(quota, facts);
-  const outcome = await quotas.take({
+  const outcome = await quotas.acquire({
     customer: name,
     units,
     rate: { perSecond, burst },
@@ -60,6 +60,6 @@
     }
     case "granted":
       if (outcome.afterMs > 0) await sleep(clock, outcome.afterMs);
-      return { type: "held", release: () => outcome.giveBack() };
+      return { type: "held", release: () => outcome.release() };
   }
 }
--- a/src/gateway/callers/reply.ts
+++ b/src/gateway/callers/reply.ts
@@ -17,7 +17,7 @@
 export function createReply(options: ReplyOptions): Reply {
   const { response } = options;
   return {
-    head: (status, rawHeaders) => sendHeaders(options, status, rawHeaders),
+    writeHead: (status, rawHeaders) => sendHeaders(options, status, rawHeaders),
     write: (bytes) => response.write(bytes),
     drained: () => waitForDrain(response),
     end: () => {
@@ -25,7 +25,7 @@
     },
     fail: (error, retryAfterSeconds) =>
       sendError(options, error, retryAfterSeconds),
-    breakOff: () => {
+    abort: () => {
       response.destroy();
     },
   };
--- a/src/gateway/callers/server.ts
+++ b/src/gateway/callers/server.ts
@@ -12,12 +12,12 @@
 import { GatewayError } from "../answers.ts";
 import { type Clock, sleep } from "../clock.ts";
 import type { GatewayContext } from "../context.ts";
-import { type AdmissionSource, admit } from "../customers/admission.ts";
+import { type AdmissionOptions, admit } from "../customers/admission.ts";
 import type { Customer } from "../customers/model.ts";
 import { lazyFingerprint } from "../crashes/fingerprint.ts";
 import { requestHeaders, withoutHeaders } from "../http/headers.ts";
-import type { RequestFacts } from "../port.ts";
-import type { Places } from "../planning/places.ts";
+import type { RequestMetadata } from "../port.ts";
+import type { PlannerClient } from "../planning/planner_client.ts";
 import { Exchange } from "../requests/exchange.ts";
 import type { GatewayRequest, Reply } from "../requests/request.ts";
 import type { CallerLimits, Route } from "../routing/model.ts";
@@ -27,7 +27,7 @@
   acquireQuota,
   type QuotaAcquisition,
   type QuotaAcquisitionOptions,
-} from "./quota_hold.ts";
+} from "./quota_acquisition.ts";
 import { createReply } from "./reply.ts";
 
 const MAX_HEADER_BYTES = 64 * 1024;
@@ -46,7 +46,7 @@
 type AcceptedHeaders = {
   readonly type: "taken";
   readonly route: Route;
-  readonly facts: RequestFacts;
+  readonly facts: RequestMetadata;
   readonly customer: Customer | undefined;
 };
 /** Result of checking the headers of a request. */
@@ -55,10 +55,10 @@
   | { readonly type: "refused"; readonly error: GatewayError };
 
 /** Options of {@link CallerServer}. */
-export type CallerServerSource = {
+export type CallerServerOptions = {
   readonly context: GatewayContext;
-  readonly places: Places;
-  readonly admission: AdmissionSource;
+  readonly planner: PlannerClient;
+  readonly admission: AdmissionOptions;
   readonly quotas: QuotaAcquisitionOptions["quotas"];
 };
 
@@ -66,15 +66,15 @@
 export class CallerServer {
   readonly server: Server;
   readonly #context: GatewayContext;
-  readonly #planner: Places;
-  readonly #admission: AdmissionSource;
+  readonly #planner: PlannerClient;
+  readonly #admission: AdmissionOptions;
   readonly #quotas: QuotaAcquisitionOptions["quotas"];
   readonly #exchanges = new Set<Exchange>();
   /** Requests that are being read or wait for quota units. */
   #pendingCount = 0;
 
-  constructor(options: CallerServerSource) {
-    const { context, places: planner, admission, quotas } = options;
+  constructor(options: CallerServerOptions) {
+    const { context, planner: planner, admission, quotas } = options;
     this.#context = context;
     this.#planner = planner;
     this.#admission = admission;
@@ -87,7 +87,7 @@
   }
 
   /** Number of requests in progress. */
-  get open(): number {
+  get openRequestCount(): number {
     return this.#exchanges.size + this.#pendingCount;
   }
 
@@ -101,7 +101,7 @@
    * Stops accepting connections, closes idle ones, and waits until `deadline`
    * for the others to close. Requests that arrive on them are still served.
    */
-  async finish(clock: Clock, deadline: Milliseconds): Promise<void> {
+  async drain(clock: Clock, deadline: Milliseconds): Promise<void> {
     let isClosed = false;
     this.server.close(() => isClosed = true);
     while (!isClosed && clock.now() < deadline) {
@@ -131,7 +131,7 @@
     const reply = createReply({
       response,
       dialect,
-      shouldCloseConnection: () => stop.askedAt !== undefined,
+      shouldCloseConnection: () => stop.requestedAt !== undefined,
     });
     if (reading.type === "tooLarge") {
       response.shouldKeepAlive = false;
@@ -204,7 +204,7 @@
   ): GatewayRequest {
     const { random } = this.#context;
     const { check: { route, facts, customer }, receivedAt, body } = parts;
-    const timeoutMs = Math.min(route.timeoutMs, facts.patienceMs ?? Infinity);
+    const timeoutMs = Math.min(route.timeoutMs, facts.timeoutMs ?? Infinity);
     const method = incoming.method ?? "GET";
     const target = incoming.url ?? "/";
     const fingerprint = lazyFingerprint({
@@ -226,7 +226,7 @@
       target,
       rawHeaders: this.#forwardedHeaders(incoming.rawHeaders),
       facts,
-      limitAt: receivedAt + timeoutMs,
+      deadline: receivedAt + timeoutMs,
     };
   }
 
@@ -248,7 +248,7 @@
   ): void {
     const exchange = new Exchange({
       context: this.#context,
-      places: this.#planner,
+      planner: this.#planner,
       request,
       reply,
       onEnd: (mayHaveRun) => {
@@ -258,15 +258,15 @@
     });
     this.#exchanges.add(exchange);
     response.on("close", () => {
-      if (!response.writableFinished) exchange.callerGone();
+      if (!response.writableFinished) exchange.callerDisconnected();
     });
     void exchange.run();
   }
 
   #hasTimeFor(route: Route): boolean {
     const { stop, clock, routes } = this.#context;
-    if (stop.askedAt === undefined) return true;
-    const timeLeftMs = stop.askedAt + stop.graceMs - clock.now();
+    if (stop.requestedAt === undefined) return true;
+    const timeLeftMs = stop.requestedAt + stop.graceMs - clock.now();
     const hasEngineTarget = route.targets.some((target) =>
       routes.service(target.service)?.engine !== undefined
     );
@@ -287,7 +287,7 @@
     events.note("refused", {
       request: id,
       error,
-      customer: routes.customers?.holderOf(keyDigest)?.name,
+      customer: routes.customers?.customerOf(keyDigest)?.name,
       routes: routes.version,
       routes_age_ms: Number.isFinite(ageMs) ? Math.round(ageMs) : undefined,
       retry_after: retryAfterMs && retryAfterMs / 1000,
--- a/src/gateway/context.ts
+++ b/src/gateway/context.ts
@@ -7,7 +7,7 @@
 import type { CrashWatch } from "./crashes/crash_watch.ts";
 import type { ReplicaLimits } from "./limits/replica_limits.ts";
 import type { Dialect } from "./port.ts";
-import type { LeavingReplicas } from "./replicas/leaving_replicas.ts";
+import type { DrainingReplicas } from "./replicas/draining_replicas.ts";
 import type { ReplicaGate } from "./replicas/replica_gate.ts";
 import type { ReplicaTable } from "./replicas/replica_table.ts";
 import type { RetryBudget } from "./retries/retry_budget.ts";
@@ -28,13 +28,13 @@
    */
   readonly retryAfterObjectives: number;
   /** A resumable stream without events for this long resumes at another replica. */
-  readonly stallMs: Milliseconds;
+  readonly stallTimeoutMs: Milliseconds;
   /** Reserved output tokens, as a multiple of the caller's estimate. */
   readonly outputMargin: number;
   /** Maximum share of a replica's memory that is reserved. */
   readonly memoryShare: number;
   /** Cost of choosing a replica in another hall, as a share of its memory. */
-  readonly farCharge: number;
+  readonly remoteHallPenalty: number;
 };
 
 /** Shared state and dependencies of one gateway. */
@@ -53,11 +53,11 @@
   readonly dialect: Dialect;
   readonly routes: RouteTable;
   readonly replicas: ReplicaTable;
-  readonly budget: RetryBudget;
+  readonly retryBudget: RetryBudget;
   readonly pool: UpstreamPool;
   readonly crashes: CrashWatch;
   readonly limits: ReplicaLimits;
-  readonly leaving: LeavingReplicas;
+  readonly draining: DrainingReplicas;
   readonly gate: ReplicaGate;
   readonly events: EventLog;
   readonly metrics: Metrics;
@@ -66,5 +66,5 @@
   /** Number of known live hosts of the fleet, including this one. */
   readonly hostCount: () => number;
   /** When a stop was requested, if it was, and the grace period for it. */
-  readonly stop: { askedAt?: Milliseconds; graceMs: Milliseconds };
+  readonly stop: { requestedAt?: Milliseconds; graceMs: Milliseconds };
 };
--- a/src/gateway/crashes/crash_messages.ts
+++ b/src/gateway/crashes/crash_messages.ts
@@ -1,7 +1,7 @@
 /** Messages in which hosts report crashes, over links and in rows of the store. */
 import * as z from "zod";
 import type { Milliseconds } from "../../util/units.ts";
-import type { CrashNews } from "./model.ts";
+import type { CrashUpdate } from "./model.ts";
 
 const CrashMessage = z.object({
   fingerprint: z.string(),
@@ -27,7 +27,7 @@
 
 /** Encodes an update, with ages instead of times. */
 export function encodeCrashes(
-  { records, acquittals }: CrashNews,
+  { records, clearances: acquittals }: CrashUpdate,
   now: Milliseconds,
 ): CrashesMessage {
   const agoMs = (at: Milliseconds) => Math.max(0, Math.round(now - at));
@@ -49,14 +49,14 @@
   { crashes, answered }: CrashesMessage,
   now: Milliseconds,
   ageMs: Milliseconds = 0,
-): CrashNews {
+): CrashUpdate {
   const at = (agoMs: Milliseconds) => now - ageMs - Math.max(0, agoMs);
   return {
     records: crashes.map(({ agoMs, ...crash }) => ({
       ...crash,
       at: at(agoMs),
     })),
-    acquittals: answered.map(({ agoMs, ...clearance }) => ({
+    clearances: answered.map(({ agoMs, ...clearance }) => ({
       ...clearance,
       at: at(agoMs),
     })),
--- a/src/gateway/crashes/crash_table.ts
+++ b/src/gateway/crashes/crash_table.ts
@@ -12,9 +12,9 @@
 import type { Milliseconds } from "../../util/units.ts";
 import type {
   Clearance,
-  CrashNews,
   CrashRecord,
   CrashRule,
+  CrashUpdate,
   Quarantine,
 } from "./model.ts";
 
@@ -80,18 +80,18 @@
   }
 
   /** Merges an update; returns the part of it that changed the table. */
-  take(update: CrashNews, now: Milliseconds): CrashNews {
+  merge(update: CrashUpdate, now: Milliseconds): CrashUpdate {
     this.#removeExpired(now);
     const records = update.records.filter((record) => this.#add(record, now));
-    const acquittals = update.acquittals.filter((clearance) =>
+    const acquittals = update.clearances.filter((clearance) =>
       this.#clear(clearance)
     );
     if (records.length + acquittals.length > 0) this.#updateQuarantines();
-    return { records, acquittals };
+    return { records, clearances: acquittals };
   }
 
   /** The full table, for a host that has just connected. */
-  all(now: Milliseconds): CrashNews {
+  all(now: Milliseconds): CrashUpdate {
     this.#removeExpired(now);
     return this.#updateOf([...this.#suspects]);
   }
@@ -103,7 +103,7 @@
   worst(
     { minCount, limit }: { readonly minCount: number; readonly limit: number },
     now: Milliseconds,
-  ): CrashNews {
+  ): CrashUpdate {
     this.#removeExpired(now);
     const entries = [...this.#suspects]
       .map((entry) => ({ entry, count: countedCrashes(entry[1]).length }))
@@ -113,7 +113,7 @@
     return this.#updateOf(entries.map(({ entry }) => entry));
   }
 
-  #updateOf(entries: readonly (readonly [string, Suspect])[]): CrashNews {
+  #updateOf(entries: readonly (readonly [string, Suspect])[]): CrashUpdate {
     const records = entries.flatMap(([fingerprint, { crashes }]) =>
       [...crashes].map(([incarnation, at]) => ({
         fingerprint,
@@ -124,12 +124,12 @@
     const acquittals = entries.flatMap(([fingerprint, { answeredAt }]) =>
       answeredAt === undefined ? [] : [{ fingerprint, at: answeredAt }]
     );
-    return { records, acquittals };
+    return { records, clearances: acquittals };
   }
 
   #add(record: CrashRecord, now: Milliseconds): boolean {
     const { fingerprint, incarnation, at } = record;
-    if (now - at >= this.#rule.lifeMs) return false;
+    if (now - at >= this.#rule.ttlMs) return false;
     const known = this.#suspects.get(fingerprint);
     if (known?.crashes.has(incarnation)) return false;
     if (known && known.crashes.size >= MAX_CRASHES_PER_REQUEST) return false;
@@ -188,7 +188,7 @@
 
   /** Removes requests whose last crash is older than the TTL. */
   #removeExpired(now: Milliseconds): void {
-    const oldest = now - this.#rule.lifeMs;
+    const oldest = now - this.#rule.ttlMs;
     for (const [fingerprint, { crashes }] of this.#suspects) {
       const last = Math.max(...crashes.values());
       if (last <= oldest) this.#suspects.delete(fingerprint);
@@ -196,7 +196,7 @@
   }
 
   #updateQuarantines(): void {
-    const { most: minCrashes, lifeMs: retentionMs } = this.#rule;
+    const { crashThreshold: minCrashes, ttlMs: retentionMs } = this.#rule;
     const remaining = this.#candidates(minCrashes);
     const quarantines = new Map<string, Quarantine>();
     const undecided: (readonly string[])[] = [];
--- a/src/gateway/crashes/crash_watch.ts
+++ b/src/gateway/crashes/crash_watch.ts
@@ -9,10 +9,10 @@
 import type { EventLog } from "../observe/event_log.ts";
 import type { Metrics } from "../observe/metrics.ts";
 import type { ReplicaEntry } from "../replicas/model.ts";
-import { forgetOldest } from "../../util/forget_oldest.ts";
+import { evictOldest } from "../../util/evict_oldest.ts";
 import type { ProbeResult } from "../upstreams/probe.ts";
 import { CrashTable } from "./crash_table.ts";
-import type { CrashNews, CrashRule, Quarantine } from "./model.ts";
+import type { CrashRule, CrashUpdate, Quarantine } from "./model.ts";
 
 /**
  * A refused connection explains only sends that broke within this time before
@@ -38,7 +38,7 @@
   readonly fingerprint: string;
   readonly at: Milliseconds;
   /** Whether the replica's side ended it; otherwise this host timed out. */
-  readonly isByReplica: boolean;
+  readonly endedByReplica: boolean;
   /** Whether a later probe found the replica listening. */
   hasListened: boolean;
 };
@@ -53,9 +53,9 @@
 };
 
 /** How a send ended without a complete response. */
-export type SendBreak = {
+export type BrokenSendDetails = {
   readonly fingerprint: () => string;
-  readonly isByReplica: boolean;
+  readonly endedByReplica: boolean;
 };
 
 /** Options of {@link CrashWatch}. */
@@ -65,7 +65,7 @@
   readonly metrics: Pick<Metrics, "count">;
   readonly rule: CrashRule;
   /** Whether a replica is draining, so that its end is planned. */
-  readonly isLeaving: (entry: ReplicaEntry) => boolean;
+  readonly isDraining: (entry: ReplicaEntry) => boolean;
   /** Checks whether a process listens at an address. */
   readonly probe: (address: string) => Promise<ProbeResult>;
 };
@@ -74,7 +74,7 @@
  * Called with updates that are new to this host; `from` is the sender, undefined
  * when this host detected the crash.
  */
-export type CrashListener = (update: CrashNews, from: unknown) => void;
+export type CrashListener = (update: CrashUpdate, from: unknown) => void;
 
 /** Detects crashes, and decides which requests are quarantined. */
 export class CrashWatch {
@@ -101,7 +101,7 @@
   }
 
   /** Replaces the rule and updates the quarantines. */
-  change(rule: CrashRule): void {
+  setRule(rule: CrashRule): void {
     this.#rule = rule;
     this.#table.setRule(rule);
   }
@@ -121,8 +121,8 @@
    * Waits for the probes of the replicas at which the request broke, if their
    * results may decide whether it is sent again after `sends` sends.
    */
-  async settled(fingerprint: () => string, sends: number): Promise<void> {
-    const mayDecide = sends >= this.#rule.most - 1 ||
+  async awaitProbes(fingerprint: () => string, sends: number): Promise<void> {
+    const mayDecide = sends >= this.#rule.crashThreshold - 1 ||
       (this.#table.size > 0 && this.#table.has(fingerprint()));
     if (!mayDecide) return;
     const key = fingerprint();
@@ -135,19 +135,19 @@
   }
 
   /** Clears the request: a replica returned a complete response. */
-  answered(fingerprint: () => string): void {
+  noteAnswered(fingerprint: () => string): void {
     if (this.#table.size === 0 || !this.#table.has(fingerprint())) return;
     const at = this.#options.clock.now();
     const acquittals = [{ fingerprint: fingerprint(), at }];
-    this.take({ records: [], acquittals }, undefined);
+    this.merge({ records: [], clearances: acquittals }, undefined);
   }
 
   /** Records that a send to the replica ended without a complete response. */
-  sendBroke(
+  noteBrokenSend(
     entry: ReplicaEntry,
-    { fingerprint, isByReplica }: SendBreak,
+    { fingerprint, endedByReplica: isByReplica }: BrokenSendDetails,
   ): void {
-    if (this.#options.isLeaving(entry)) return;
+    if (this.#options.isDraining(entry)) return;
     const now = this.#options.clock.now();
     const watched = this.#watchedOf(entry.incarnation);
     removeBefore(watched, now - REMOVED_WINDOW_MS);
@@ -155,7 +155,7 @@
     watched.brokenSends.push({
       fingerprint: fingerprint(),
       at: now,
-      isByReplica,
+      endedByReplica: isByReplica,
       hasListened: false,
     });
     const sinceCrash = now - (watched.crashedAt ?? -Infinity);
@@ -166,23 +166,23 @@
   }
 
   /** Records that the replica's address refused a connection. */
-  refused(entry: ReplicaEntry): void {
-    if (this.#options.isLeaving(entry)) return;
+  noteRefused(entry: ReplicaEntry): void {
+    if (this.#options.isDraining(entry)) return;
     this.#noteCrash(entry.incarnation, "refused");
   }
 
   /** Records that the replica was removed from the listing. */
-  gone(entry: ReplicaEntry): void {
+  noteRemoved(entry: ReplicaEntry): void {
     const { incarnation } = entry;
-    if (!this.#options.isLeaving(entry)) this.#noteCrash(incarnation, "gone");
+    if (!this.#options.isDraining(entry)) this.#noteCrash(incarnation, "gone");
     this.#watched.delete(incarnation);
   }
 
   /** Merges an update of another host, or of this host if `from` is undefined. */
-  take(update: CrashNews, from: unknown): void {
+  merge(update: CrashUpdate, from: unknown): void {
     const before = this.#table.quarantines;
-    const changes = this.#table.take(update, this.#options.clock.now());
-    if (changes.records.length + changes.acquittals.length === 0) return;
+    const changes = this.#table.merge(update, this.#options.clock.now());
+    if (changes.records.length + changes.clearances.length === 0) return;
     this.#noteChange(before);
     for (const listener of this.#listeners) listener(changes, from);
     if (from === undefined) return;
@@ -193,12 +193,12 @@
   }
 
   /** All records and clearances, for a host that has just connected. */
-  all(): CrashNews {
+  all(): CrashUpdate {
     return this.#table.all(this.#options.clock.now());
   }
 
   /** Records and clearances of the requests with the most crashes. */
-  worst(): CrashNews {
+  worst(): CrashUpdate {
     return this.#table.worst(WORST_BOUNDS, this.#options.clock.now());
   }
 
@@ -208,7 +208,7 @@
       const startedAt = clock.now();
       const result = await probe(entry.address);
       metrics.count(`crash_probes_${result}`);
-      if (result === "refused") this.refused(entry);
+      if (result === "refused") this.noteRefused(entry);
       if (result !== "listens") break;
       for (const send of watched.brokenSends) {
         if (send.at <= startedAt) send.hasListened = true;
@@ -243,13 +243,13 @@
       fingerprints: records.slice(0, 4).map((record) => record.fingerprint)
         .join(),
     });
-    this.take({ records, acquittals: [] }, undefined);
+    this.merge({ records, clearances: [] }, undefined);
   }
 
   #watchedOf(incarnation: string): WatchedReplica {
     const known = this.#watched.get(incarnation);
     if (known) return known;
-    forgetOldest(this.#watched, MAX_REPLICAS - 1);
+    evictOldest(this.#watched, MAX_REPLICAS - 1);
     const watched = {
       brokenSends: [],
       probing: undefined,
@@ -275,7 +275,9 @@
 }
 
 /** Whether the replica's side ended the send and no probe found it listening. */
-function isUnexplained({ isByReplica, hasListened }: BrokenSend): boolean {
+function isUnexplained(
+  { endedByReplica: isByReplica, hasListened }: BrokenSend,
+): boolean {
   return isByReplica && !hasListened;
 }
 
--- a/src/gateway/crashes/model.ts
+++ b/src/gateway/crashes/model.ts
@@ -19,9 +19,9 @@
 };
 
 /** Records and clearances that one host reports to another. */
-export type CrashNews = {
+export type CrashUpdate = {
   readonly records: readonly CrashRecord[];
-  readonly acquittals: readonly Clearance[];
+  readonly clearances: readonly Clearance[];
 };
 
 /** Why a request is not sent to any replica. */
@@ -34,7 +34,7 @@
 /** Settings of the quarantine. */
 export type CrashRule = {
   /** Number of crashes after which a request is quarantined. */
-  readonly most: number;
+  readonly crashThreshold: number;
   /** TTL of crash records, and thus of a quarantine. */
-  readonly lifeMs: Milliseconds;
+  readonly ttlMs: Milliseconds;
 };
--- a/src/gateway/create_context.ts
+++ b/src/gateway/create_context.ts
@@ -39,7 +39,7 @@
   const run = String(newIncarnation());
   const self = { id: host.id, hall: host.hall, run };
   const random = Math.random;
-  const { replicas, limits, leaving, gate } = createReplicaState({
+  const { replicas, limits, draining: leaving, gate } = createReplicaState({
     self,
     clock,
     random,
@@ -52,26 +52,26 @@
     self,
     clock,
     suspensions: new SuspensionWatch({
-      steadyNow: clock.now,
-      dayNow: Date.now,
+      monotonicNow: clock.now,
+      wallClockNow: Date.now,
     }),
     eras: new StoreEras(events),
     random,
     dialect: port.dialect,
     routes: new RouteTable(),
     replicas,
-    budget: new RetryBudget(retryBudgetRuleOf(settings), clock.now()),
+    retryBudget: new RetryBudget(retryBudgetRuleOf(settings), clock.now()),
     pool: new UpstreamPool(clock, timeoutMs),
     crashes: new CrashWatch({
       clock,
       events,
       metrics,
       rule: crashRuleOf(settings),
-      isLeaving: (entry) => replicas.isLeaving(entry),
+      isDraining: (entry) => replicas.isDraining(entry),
       probe: (address) => probeAddress(address, { clock, timeoutMs }),
     }),
     limits,
-    leaving,
+    draining: leaving,
     gate,
     events,
     metrics,
@@ -89,7 +89,7 @@
 
 /** Limits on requests that crash their replicas. */
 export function crashRuleOf({ crashes }: GatewaySettings): CrashRule {
-  return { most: crashes.most, lifeMs: crashes.life };
+  return { crashThreshold: crashes.most, ttlMs: crashes.life };
 }
 
 /** The reloadable parameters of the request path. */
@@ -99,9 +99,9 @@
     reserveTimeoutMs: tuning.reserve_timeout,
     prefillTimeoutMs: tuning.prefill_timeout,
     retryAfterObjectives: tuning.retry_after_objectives,
-    stallMs: tuning.stall,
+    stallTimeoutMs: tuning.stall,
     outputMargin: tuning.output_margin,
     memoryShare: tuning.memory_share,
-    farCharge: tuning.far_charge,
+    remoteHallPenalty: tuning.far_charge,
   };
 }
--- a/src/gateway/customers/admission.ts
+++ b/src/gateway/customers/admission.ts
@@ -6,7 +6,7 @@
 import type { Customer } from "./model.ts";
 
 /** Options of {@link admit}. */
-export type AdmissionSource = {
+export type AdmissionOptions = {
   readonly routes: Pick<RouteTable, "customers" | "isBehind">;
   /**
    * Time since the store is known to have had no newer configuration; Infinity
@@ -33,7 +33,7 @@
 
 /** Admits or refuses a request by the digest of its key. */
 export function admit(
-  options: AdmissionSource,
+  options: AdmissionOptions,
   request: { readonly route: Route; readonly keyDigest: string | undefined },
   now: Milliseconds,
 ): Admission {
@@ -46,7 +46,7 @@
   const { keyDigest } = request;
   const customer = keyDigest === undefined
     ? undefined
-    : customers.holderOf(keyDigest);
+    : customers.customerOf(keyDigest);
   if (customer) return { type: "admitted", customer };
   // A newer configuration, which this host does not have yet, may have the key.
   const mayBeNew = keyDigest !== undefined && options.routes.isBehind;
@@ -57,7 +57,7 @@
  * Whether the key of an admitted request still belongs to its customer; the key
  * may be revoked while the request waits. True if no key is required.
  */
-export function isStillHeld(
+export function isKeyStillValid(
   routes: Pick<RouteTable, "customers">,
   { customer, facts: { keyDigest } }: {
     readonly customer?: Customer;
@@ -65,7 +65,7 @@
   },
 ): boolean {
   if (customer === undefined || keyDigest === undefined) return true;
-  return routes.customers?.holderOf(keyDigest)?.name === customer.name;
+  return routes.customers?.customerOf(keyDigest)?.name === customer.name;
 }
 
 function refused(error: GatewayError): Admission {
--- a/src/gateway/customers/customer_table.ts
+++ b/src/gateway/customers/customer_table.ts
@@ -17,7 +17,7 @@
    * The customer whose key has this SHA-256 digest. The comparison uses digests
    * so that the time of a lookup reveals nothing about a key.
    */
-  holderOf(digest: string): Customer | undefined {
+  customerOf(digest: string): Customer | undefined {
     return this.#byDigest.get(digest);
   }
 }
--- a/src/gateway/customers/customers.ts
+++ b/src/gateway/customers/customers.ts
@@ -6,7 +6,7 @@
 import type { GatewayContext } from "../context.ts";
 import { LinkPath, openLink } from "../peers/link.ts";
 import type { HostDirectory } from "../peers/directory.ts";
-import type { AdmissionSource } from "./admission.ts";
+import type { AdmissionOptions } from "./admission.ts";
 import { type QuotaBounds, quotaRule } from "../quota/bounds.ts";
 import { QuotaMember } from "../quota/member.ts";
 import { QuotaOwner } from "../quota/owner.ts";
@@ -25,7 +25,7 @@
 
 /** Admission by key and the quotas of customers at one gateway. */
 export class Customers {
-  readonly admission: AdmissionSource;
+  readonly admission: AdmissionOptions;
   readonly owner: QuotaOwner;
   readonly quotas: QuotaMember;
   readonly #context: GatewayContext;
@@ -44,15 +44,15 @@
       clock: context.clock,
       run: context.self.run,
       allowance: quotaRule(() => this.#bounds()),
-      memoryMs: () => this.#settings.quota_window,
+      retentionMs: () => this.#settings.quota_window,
       knownHosts: () => directory.count,
     });
     this.quotas = new QuotaMember({
       self: context.self,
       clock: context.clock,
-      own: this.owner,
+      localOwner: this.owner,
       hosts: () => directory.entries(),
-      memoryMs: () => this.#settings.quota_window,
+      retentionMs: () => this.#settings.quota_window,
       path: LinkPath.quota,
       noteLost: (owner) => context.events.note("quotaOwnerLost", { owner }),
       openLink,
@@ -60,12 +60,12 @@
   }
 
   /** Applies changed settings. */
-  change(settings: GatewaySettings["customers"]): void {
+  applySettings(settings: GatewaySettings["customers"]): void {
     this.#settings = settings;
   }
 
   /** Opens the links to quota owners before the first request needs them. */
-  link(): void {
+  openQuotaLinks(): void {
     if (this.#context.routes.customers) this.quotas.refresh();
   }
 
--- a/src/gateway/early_reload.ts
+++ b/src/gateway/early_reload.ts
@@ -9,7 +9,7 @@
 let isReloadPending = false;
 
 /** Installs the SIGHUP handler and defers reloads until {@link onReload}. */
-export function keepReloads(): void {
+export function deferReloads(): void {
   process.on("SIGHUP", () => {
     if (handler) handler();
     else isReloadPending = true;
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -17,7 +17,7 @@
 import { openLink } from "./peers/link.ts";
 import { createPeerServer } from "./peers/server.ts";
 import type { HostEntry, PlatformPort } from "./port.ts";
-import { Places } from "./planning/places.ts";
+import { PlannerClient } from "./planning/planner_client.ts";
 import { PlanService } from "./planning/plan_service.ts";
 import { revisionOf } from "./position.ts";
 import { SettingsState } from "./settings_state.ts";
@@ -69,7 +69,7 @@
   readonly #self: HostEntry;
   readonly #context: GatewayContext;
   readonly #planService: PlanService;
-  readonly #plannerClient: Places;
+  readonly #plannerClient: PlannerClient;
   readonly #callerServer: CallerServer;
   readonly #fleetState: FleetState;
   readonly #directory: HostDirectory;
@@ -94,7 +94,7 @@
     this.#directory = directory;
     this.#context = context;
     this.#planService = new PlanService(context);
-    this.#plannerClient = new Places(
+    this.#plannerClient = new PlannerClient(
       context,
       this.#planService,
       () => directory.entries(),
@@ -107,7 +107,7 @@
     });
     this.#callerServer = new CallerServer({
       context,
-      places: this.#plannerClient,
+      planner: this.#plannerClient,
       admission: this.#customers.admission,
       quotas: this.#customers.quotas,
     });
@@ -176,10 +176,10 @@
 
   reload(settings: GatewaySettings, cause: string): void {
     this.#context.tuning = tuningOf(settings);
-    this.#context.budget.change(retryBudgetRuleOf(settings));
-    this.#context.crashes.change(crashRuleOf(settings));
+    this.#context.retryBudget.setRule(retryBudgetRuleOf(settings));
+    this.#context.crashes.setRule(crashRuleOf(settings));
     this.#context.stop.graceMs = settings.grace;
-    this.#customers.change(settings.customers);
+    this.#customers.applySettings(settings.customers);
     const before = this.#settingsState.version;
     this.#settingsState.noteLoaded(settings, this.#context.clock.now());
     const { version } = this.#settingsState;
@@ -195,21 +195,21 @@
   async stop(): Promise<void> {
     const { clock, events, stop, pool } = this.#context;
     const requestedAt = clock.now();
-    stop.askedAt = requestedAt;
-    events.note("stopping", { open: this.#callerServer.open });
+    stop.requestedAt = requestedAt;
+    events.note("stopping", { open: this.#callerServer.openRequestCount });
     const deadline = requestedAt + stop.graceMs - EXIT_MARGIN_MS;
     await sleep(clock, BALANCER_REMOVAL_MS);
-    await this.#callerServer.finish(clock, deadline);
+    await this.#callerServer.drain(clock, deadline);
     for (const server of this.#servers) server.close();
     this.#fleetState.stop();
     pool.close();
-    events.note("stopped", { open: this.#callerServer.open });
+    events.note("stopped", { open: this.#callerServer.openRequestCount });
     await sleep(clock, LOG_FLUSH_MS);
   }
 
   #isReady(): boolean {
     const { stop, routes, replicas } = this.#context;
-    if (stop.askedAt !== undefined) return false;
+    if (stop.requestedAt !== undefined) return false;
     return routes.config !== undefined && replicas.revision >= 0;
   }
 
@@ -222,7 +222,7 @@
       const configAgeMs = this.#fleetState.configAgeMs(clock.now());
       const gauges = {
         ...this.#settingsState.gauges(clock.now()),
-        requests_open: this.#callerServer.open,
+        requests_open: this.#callerServer.openRequestCount,
         quota_customers: this.#customers.owner.size,
         memory_waits: this.#planService.waiting,
         routes_version: routes.version,
@@ -240,7 +240,7 @@
         resident_bytes: process.memoryUsage.rss(),
       };
       const info = { settings: this.#settingsState.version };
-      const page = metrics.page(gauges, info);
+      const page = metrics.render(gauges, info);
       response.writeHead(200, { "Content-Type": "text/plain; version=0.0.4" });
       response.end(page);
     });
@@ -256,8 +256,8 @@
         events.note("stoodStill", { for_ms: Math.round(delayMs) });
       }
       this.#openPlannerLinks();
-      this.#customers.link();
-      this.#context.limits.link();
+      this.#customers.openQuotaLinks();
+      this.#context.limits.maintainLinks();
       this.#scheduleTick();
     });
   }
--- a/src/gateway/limits/allowance.ts
+++ b/src/gateway/limits/allowance.ts
@@ -12,7 +12,7 @@
  * Lower bound of the rate, also for a limit of 0. Only responses of the replica
  * show that its limit has ended, and this rate yields one within 5 s.
  */
-export const LEAST_PER_SECOND = 0.2;
+export const MIN_PER_SECOND = 0.2;
 /**
  * How long hosts remember permits, to report them to a new owner. Longer than
  * {@link WINDOW_S}.
@@ -38,7 +38,7 @@
  * can still use the replica.
  */
 export function limitAllowance(perSecond: number, share: number): Allowance {
-  const rate = Math.max(LEAST_PER_SECOND, perSecond) * share;
+  const rate = Math.max(MIN_PER_SECOND, perSecond) * share;
   if (rate <= 0) return { units: 0, windowMs: WINDOW_S * 1000 };
   const units = Math.ceil(rate * WINDOW_S);
   return { units, windowMs: units / rate * 1000 };
--- a/src/gateway/limits/limit_table.ts
+++ b/src/gateway/limits/limit_table.ts
@@ -4,7 +4,7 @@
  * by a response that was certainly made after the limit was named.
  */
 import type { Milliseconds } from "../../util/units.ts";
-import { forgetOldest } from "../../util/forget_oldest.ts";
+import { evictOldest } from "../../util/evict_oldest.ts";
 import type { LimitHeader, LimitRecord } from "./model.ts";
 
 /**
@@ -43,7 +43,7 @@
   }
 
   /** Handles a response; returns the record if the limit has changed. */
-  hear(answer: LimitAnswer, now: Milliseconds): LimitRecord | undefined {
+  observe(answer: LimitAnswer, now: Milliseconds): LimitRecord | undefined {
     const { incarnation, header, sentAt } = answer;
     if (header.type === "unreadable") return undefined;
     const known = this.#records.get(incarnation);
@@ -57,7 +57,7 @@
   }
 
   /** Merges records of another host; returns those that changed this table. */
-  take(records: readonly LimitRecord[]): LimitRecord[] {
+  merge(records: readonly LimitRecord[]): LimitRecord[] {
     const updates: LimitRecord[] = [];
     for (const record of records) {
       if (this.#isUpdate(record)) updates.push(this.#store(record));
@@ -85,7 +85,7 @@
     // Reinserted at the end: the oldest records are evicted first.
     this.#records.delete(incarnation);
     this.#records.set(incarnation, record);
-    forgetOldest(this.#records, MAX_REPLICAS);
+    evictOldest(this.#records, MAX_REPLICAS);
     return record;
   }
 }
--- a/src/gateway/limits/replica_limits.ts
+++ b/src/gateway/limits/replica_limits.ts
@@ -15,13 +15,13 @@
   type LinkTarget,
 } from "../peers/link.ts";
 import type { HostEntry } from "../port.ts";
-import type { QuotaTake } from "../quota/ledger.ts";
+import type { QuotaRequest } from "../quota/ledger.ts";
 import { QuotaMember, type QuotaOutcome } from "../quota/member.ts";
 import { QuotaOwner } from "../quota/owner.ts";
 import type { Replica } from "../replicas/replica.ts";
 import {
-  LEAST_PER_SECOND,
   limitAllowance,
+  MIN_PER_SECOND,
   PAST_SEND_UNITS,
   PAST_SENDS_WINDOW_MS,
   PERMIT_RETENTION_MS,
@@ -46,7 +46,7 @@
   /** Marks the permit as used: the request is sent. */
   use(): void;
   /** Releases the permit unless it was used. */
-  giveBack(): void;
+  release(): void;
 };
 
 /** A permit, or when to retry. */
@@ -101,15 +101,15 @@
       run: self.run,
       allowance: ({ name, rate }, share) =>
         limitAllowance(this.limitOf(name) ?? rate.perSecond, share),
-      memoryMs: () => PERMIT_RETENTION_MS,
+      retentionMs: () => PERMIT_RETENTION_MS,
       knownHosts: hostCount,
     });
     this.#member = new QuotaMember({
       self,
       clock,
-      own: this.owner,
+      localOwner: this.owner,
       hosts,
-      memoryMs: () => PERMIT_RETENTION_MS,
+      retentionMs: () => PERMIT_RETENTION_MS,
       path: LinkPath.limit,
       noteLost: (owner) => events.note("limitOwnerLost", { owner }),
       openLink,
@@ -137,7 +137,7 @@
   }
 
   /** Handles the headers of a response to a request that was sent at `sentAt`. */
-  hear(
+  observe(
     incarnation: string,
     header: LimitHeader,
     sentAt: Milliseconds,
@@ -151,20 +151,20 @@
       });
     }
     const now = this.#options.clock.now();
-    const change = this.#table.hear({ incarnation, header, sentAt }, now);
+    const change = this.#table.observe({ incarnation, header, sentAt }, now);
     if (!change) return;
     this.#noteChange(change, before);
     this.#notify([change], undefined);
   }
 
   /** Handles records received from another host. */
-  take(records: readonly LimitRecord[], from: unknown): void {
+  receive(records: readonly LimitRecord[], from: unknown): void {
     const before = new Map(
       records.map((
         record,
       ) => [record.incarnation, this.limitOf(record.incarnation)]),
     );
-    const updates = this.#table.take(records);
+    const updates = this.#table.merge(records);
     if (updates.length === 0) return;
     for (const record of updates) {
       this.#noteChange(record, before.get(record.incarnation));
@@ -173,13 +173,13 @@
   }
 
   /** Opens links to owners while there is a limit, and closes idle ones. */
-  link(): void {
+  maintainLinks(): void {
     if (this.#table.size === 0) return;
     const now = this.#options.clock.now();
     if (this.limited > 0) this.#lastLimitedAt = now;
     if (now - this.#lastLimitedAt < IDLE_LINK_TIMEOUT_MS) {
       this.#member.refresh();
-    } else this.#member.idle();
+    } else this.#member.closeLinks();
   }
 
   /** Requests a permit to send one request to the replica now. */
@@ -191,7 +191,7 @@
     }
     const { metrics } = this.#options;
     const outcome = await this.#withTimeout(
-      this.#member.take(quotaRequestOf(incarnation, perSecond)),
+      this.#member.acquire(quotaRequestOf(incarnation, perSecond)),
     );
     metrics.count(`limit_permits_${outcome.type}`);
     if (outcome.type === "granted") {
@@ -214,7 +214,7 @@
       });
       void outcome.then((result) => {
         cancel();
-        if (isLate && result.type === "granted") result.giveBack();
+        if (isLate && result.type === "granted") result.release();
         resolve(result);
       });
     });
@@ -233,9 +233,11 @@
         const perSecond = this.limitOf(incarnation);
         // Otherwise the limit was named between the permit and the send.
         if (perSecond === undefined) return replica.noteSend(now);
-        this.#member.noteTaken(quotaRequestOf(incarnation, perSecond), [now]);
+        this.#member.noteAcquired(quotaRequestOf(incarnation, perSecond), [
+          now,
+        ]);
       },
-      giveBack: () => undefined,
+      release: () => undefined,
     };
   }
 
@@ -257,7 +259,7 @@
       ...quotaRequestOf(incarnation, perSecond),
       units: PAST_SEND_UNITS,
     };
-    this.#member.noteTaken(past, sends);
+    this.#member.noteAcquired(past, sends);
     this.#member.refresh();
   }
 
@@ -267,11 +269,11 @@
 }
 
 /** The quota request for one send to a replica; it never waits in a queue. */
-function quotaRequestOf(incarnation: string, perSecond: number): QuotaTake {
+function quotaRequestOf(incarnation: string, perSecond: number): QuotaRequest {
   return {
     customer: incarnation,
     units: 1,
-    rate: { perSecond: Math.max(LEAST_PER_SECOND, perSecond), burst: 0 },
+    rate: { perSecond: Math.max(MIN_PER_SECOND, perSecond), burst: 0 },
     version: 0,
     mostWaitMs: 0,
   };
@@ -283,8 +285,8 @@
   let isOpen = true;
   return {
     use: () => isOpen = false,
-    giveBack: () => {
-      if (isOpen) outcome.giveBack();
+    release: () => {
+      if (isOpen) outcome.release();
       isOpen = false;
     },
   };
--- a/src/gateway/mod.ts
+++ b/src/gateway/mod.ts
@@ -1,6 +1,6 @@
 /** The gateway: forwards callers' requests to replicas of upstream services. */
 export * from "./port.ts";
-export type { StorePlace } from "./position.ts";
+export type { StorePosition } from "./position.ts";
 export * from "./routing/model.ts";
 export * from "./customers/model.ts";
 export * from "./replicas/model.ts";
--- a/src/gateway/observe/metrics.ts
+++ b/src/gateway/observe/metrics.ts
@@ -47,7 +47,7 @@
   }
 
   /** Renders all metrics; `info` maps names to versions. */
-  page(
+  render(
     gauges: Readonly<Record<string, number>>,
     info: Readonly<Record<string, string>> = {},
   ): string {
--- a/src/gateway/peers/directory.ts
+++ b/src/gateway/peers/directory.ts
@@ -35,7 +35,7 @@
   }
 
   /** Adds or renews hosts that a peer or the store listed at `now`. */
-  learn(entries: readonly HostEntry[], now: Milliseconds): void {
+  add(entries: readonly HostEntry[], now: Milliseconds): void {
     for (const entry of entries) {
       if (entry.id !== this.#self) this.#addEntry(entry, now);
     }
@@ -43,7 +43,7 @@
 
   /** Adds the store's full list of hosts at `now`, and removes expired ones. */
   addFromStore(entries: readonly HostEntry[], now: Milliseconds): void {
-    this.learn(entries, now);
+    this.add(entries, now);
     for (const [id, known] of this.#hosts) {
       if (now - known.seenAt > ENTRY_TTL_MS) this.#removeHost(id);
     }
@@ -70,7 +70,7 @@
   }
 
   /** Removes hosts. */
-  forget(ids: readonly HostId[]): void {
+  remove(ids: readonly HostId[]): void {
     for (const id of ids) this.#removeHost(id);
   }
 
--- a/src/gateway/peers/host_rows.ts
+++ b/src/gateway/peers/host_rows.ts
@@ -12,7 +12,7 @@
   decodeCrashes,
   encodeCrashes,
 } from "../crashes/crash_messages.ts";
-import type { CrashNews } from "../crashes/model.ts";
+import type { CrashUpdate } from "../crashes/model.ts";
 import type { HostEntry, RowReading, Store } from "../port.ts";
 import { HostEntrySchema } from "./host_schema.ts";
 
@@ -38,7 +38,7 @@
   readonly writer: string;
   /** The writer and its followers. */
   readonly hosts: readonly HostEntry[];
-  readonly crashes: CrashNews;
+  readonly crashes: CrashUpdate;
   /** The store's era, if it is settled at the writer. */
   readonly era?: number | undefined;
 };
@@ -48,7 +48,7 @@
   /** Hosts that are listed in a row that has not expired. */
   readonly hosts: readonly HostEntry[];
   /** Crash records of each writer. */
-  readonly crashes: readonly CrashNews[];
+  readonly crashes: readonly CrashUpdate[];
   /**
    * The store's era, if it is settled at some writer or there are no rows yet.
    */
--- a/src/gateway/peers/peer_questions.ts
+++ b/src/gateway/peers/peer_client.ts
@@ -3,7 +3,7 @@
 import type { GatewayContext } from "../context.ts";
 import { revisionOf } from "../position.ts";
 import type { Synchronizer } from "../state/synchronizer.ts";
-import { within } from "../state/within.ts";
+import { withTimeout } from "../state/with_timeout.ts";
 import type { JsonClient } from "../upstreams/json_client.ts";
 import type { HostDirectory } from "./directory.ts";
 import {
@@ -38,7 +38,7 @@
 };
 
 /** Requests state from peers, with one HTTP client for each address. */
-export class PeerQuestions {
+export class PeerClient {
   readonly #options: PeerClientOptions;
   readonly #clients = new Map<string, JsonClient>();
 
@@ -49,7 +49,7 @@
   /**
    * Requests a peer's state and applies it; never rejects on a failed request.
    */
-  async ask(address: string, subject: PeerSubject): Promise<void> {
+  async request(address: string, subject: PeerSubject): Promise<void> {
     const { context, synchronizer } = this.#options;
     const { clock, events, routes, replicas, suspensions } = context;
     const suspensionsBefore = suspensions.check();
@@ -60,7 +60,7 @@
       revision: isConfig ? Number.MAX_SAFE_INTEGER : replicas.revision,
     });
     const client = this.#clientOf(address);
-    const response = await within({
+    const response = await withTimeout({
       clock,
       timeoutMs: RESPONSE_TIMEOUT_MS,
       work: (signal) => client.call({ method: "GET", path }, signal),
@@ -87,9 +87,9 @@
 
   #apply(state: PeerState, address: string, now: Milliseconds): void {
     const { context, directory, synchronizer } = this.#options;
-    directory.learn(state.hosts, now);
+    directory.add(state.hosts, now);
     if (state.newest !== undefined) {
-      synchronizer.noteHeard({ version: state.newest }, address);
+      synchronizer.noteVersion({ version: state.newest }, address);
     }
     if (!state.config && !state.listing) return;
     context.events.note("peerState", {
@@ -97,7 +97,7 @@
       version: state.config?.version,
       revision: state.listing && revisionOf(state.listing.revision),
     });
-    if (state.config) synchronizer.takeConfig(state.config, address);
-    if (state.listing) synchronizer.takeListing(state.listing, address);
+    if (state.config) synchronizer.applyConfig(state.config, address);
+    if (state.listing) synchronizer.applyListing(state.listing, address);
   }
 }
--- a/src/gateway/peers/peer_loop.ts
+++ b/src/gateway/peers/peer_loop.ts
@@ -5,7 +5,7 @@
 import type { HostEntry, Store } from "../port.ts";
 import { positionOf } from "../position.ts";
 import type { Synchronizer } from "../state/synchronizer.ts";
-import { within } from "../state/within.ts";
+import { withTimeout } from "../state/with_timeout.ts";
 import type { HostDirectory } from "./directory.ts";
 import {
   exchangeRows,
@@ -13,7 +13,7 @@
   type HostRowCall,
   readHosts,
 } from "./host_rows.ts";
-import { type PeerQuestions, PeerSubject } from "./peer_questions.ts";
+import { type PeerClient, PeerSubject } from "./peer_client.ts";
 
 /** Peers are polled after this time without a response from the store. */
 const STORE_UNAVAILABLE_AFTER_MS = 1300;
@@ -43,11 +43,11 @@
   readonly store: Store;
   readonly directory: HostDirectory;
   readonly synchronizer: Synchronizer;
-  readonly questions: PeerQuestions;
+  readonly peerClient: PeerClient;
   /** Hosts that follow this one. */
   followers(): readonly HostEntry[];
   /** Whether this host follows one of its hall that lists it in its row. */
-  isNamedByReader(): boolean;
+  isListedByReader(): boolean;
 };
 
 /** Starts the loops, which run until the process ends. */
@@ -81,7 +81,7 @@
       .sort().join();
     const isDue = written === undefined || content !== written.content ||
       clock.now() - written.at >= ROW_INTERVAL_MS;
-    if (isDue && !options.isNamedByReader()) {
+    if (isDue && !options.isListedByReader()) {
       const row = { writer: self.id, hosts, crashes: worst, era };
       const reading = await callStore(
         options,
@@ -91,7 +91,7 @@
       if (reading) applyReading(options, reading);
       written = reading ? { at: clock.now(), content } : undefined;
     }
-    const isUpToDate = written !== undefined || options.isNamedByReader();
+    const isUpToDate = written !== undefined || options.isListedByReader();
     await sleep(clock, isUpToDate ? ROW_CHECK_INTERVAL_MS : ROW_RETRY_DELAY_MS);
   }
 }
@@ -102,7 +102,7 @@
   work: (call: HostRowCall) => Promise<Value>,
 ): Promise<Value | undefined> {
   const now = () => clock.now();
-  return within({
+  return withTimeout({
     clock,
     timeoutMs: STORE_CALL_TIMEOUT_MS,
     work: (signal) => work({ store, now, signal }),
@@ -116,10 +116,12 @@
 ): void {
   const { settledEra } = reading;
   if (settledEra !== undefined) {
-    eras.hear(positionOf(settledEra, 0), clock.now(), { isSettled: true });
+    eras.observe(positionOf(settledEra, 0), clock.now(), { isSettled: true });
   }
   directory.addFromStore(reading.hosts, clock.now());
-  for (const update of reading.crashes) crashes.take(update, CRASHES_FROM_ROWS);
+  for (const update of reading.crashes) {
+    crashes.merge(update, CRASHES_FROM_ROWS);
+  }
 }
 
 /** Reads the hosts, and returns whether another one is in this hall. */
@@ -139,7 +141,7 @@
   const delays = [...STARTUP_DISCOVERY_DELAYS_MS];
   for (;;) {
     await sleep(clock, delays.shift() ?? DISCOVERY_INTERVAL_MS);
-    if (synchronizer.isTold(clock.now())) continue;
+    if (synchronizer.hasFreshReport(clock.now())) continue;
     const reading = await callStore(options, "hosts", readHosts);
     if (reading) applyReading(options, reading);
   }
@@ -151,7 +153,7 @@
  * be unreachable, or may send a large response.
  */
 async function pollPeers(options: PeerLoopOptions): Promise<void> {
-  const { context, directory, synchronizer, questions } = options;
+  const { context, directory, synchronizer, peerClient: questions } = options;
   const { clock, random } = context;
   let pending = 0;
   for (;;) {
@@ -170,6 +172,6 @@
     const address = addresses[Math.floor(random() * addresses.length)];
     if (address === undefined) continue;
     pending += 1;
-    void questions.ask(address, PeerSubject.state).then(() => pending -= 1);
+    void questions.request(address, PeerSubject.state).then(() => pending -= 1);
   }
 }
--- a/src/gateway/peers/remote_clock.ts
+++ b/src/gateway/peers/remote_clock.ts
@@ -41,7 +41,7 @@
    * Discards the bound. Needed after this host's clock was stopped: the offset
    * has decreased, so converted times would be too late.
    */
-  forget(): void {
+  reset(): void {
     this.#minOffset = undefined;
   }
 
--- a/src/gateway/peers/server.ts
+++ b/src/gateway/peers/server.ts
@@ -44,7 +44,7 @@
     if (request.url === LinkPath.quota) return quotas.accept(request, response);
     if (request.url === LinkPath.limit) return limits.accept(request, response);
     request.resume();
-    const body = JSON.stringify(answerTo(options, request.url ?? "/"));
+    const body = JSON.stringify(peerStateResponse(options, request.url ?? "/"));
     response.writeHead(200, { "Content-Type": "application/json" });
     response.end(body);
   });
@@ -54,7 +54,7 @@
 }
 
 /** The response to a state request with this path and query. */
-export function answerTo(
+export function peerStateResponse(
   options: Pick<
     PeerServerOptions,
     "context" | "self" | "directory" | "configAgeMs"
--- a/src/gateway/peers/news_sharing.ts
+++ b/src/gateway/peers/update_broadcaster.ts
@@ -15,7 +15,7 @@
    * updates within this time after it are batched, which limits the messages
    * per link when many replicas change at once.
    */
-  readonly gatherMs: Milliseconds;
+  readonly batchMs: Milliseconds;
   /** The links that are open. */
   readonly links: () => readonly Link[];
   /** Everything known to this host, as one update. */
@@ -27,7 +27,7 @@
 };
 
 /** Broadcasts one kind of update over all links. */
-export class NewsSharing<Update> {
+export class UpdateBroadcaster<Update> {
   readonly #options: UpdateBroadcasterOptions<Update>;
   #pending: { readonly update: Update; readonly from: unknown }[] = [];
   #flushedAt: Milliseconds = -Infinity;
@@ -37,7 +37,7 @@
   }
 
   /** Sends everything known over a link that has just been opened. */
-  greet(link: Link): void {
+  sendAll(link: Link): void {
     this.#send(link, this.#options.all());
   }
 
@@ -45,10 +45,10 @@
    * Broadcasts an update, except over the link `from` on which it arrived, if
    * any.
    */
-  share(update: Update, from: unknown): void {
+  broadcast(update: Update, from: unknown): void {
     this.#pending.push({ update, from });
     if (this.#pending.length > 1) return;
-    const { clock, gatherMs } = this.#options;
+    const { clock, batchMs: gatherMs } = this.#options;
     const waitMs = this.#flushedAt + gatherMs - clock.now();
     clock.after(Math.max(0, waitMs), () => this.#flush());
   }
--- a/src/gateway/planning/admission.ts
+++ b/src/gateway/planning/admission.ts
@@ -6,8 +6,8 @@
  * overloaded pool it would never start.
  */
 import type { Milliseconds } from "../../util/units.ts";
-import { LEAST_PER_SECOND } from "../limits/allowance.ts";
-import { DecayingSum } from "./recent_sum.ts";
+import { MIN_PER_SECOND } from "../limits/allowance.ts";
+import { DecayingSum } from "./decaying_sum.ts";
 
 /** Assumed lifetime of an assignment until one has ended. */
 const INITIAL_LIFETIME_MS = 4000;
@@ -113,7 +113,7 @@
       Math.max(1, reserved);
     const prefillMs = prefillRate > 0 ? promptTokens / prefillRate : 0;
     const startMs = Number.isFinite(startRate)
-      ? (requests - 1) * 1000 / Math.max(LEAST_PER_SECOND, startRate)
+      ? (requests - 1) * 1000 / Math.max(MIN_PER_SECOND, startRate)
       : 0;
     // Load offered to the memory and to the prefill replicas; 1 is full
     // capacity.
--- a/src/gateway/planning/engine_choice.ts
+++ b/src/gateway/planning/engine_choice.ts
@@ -2,9 +2,9 @@
 import type { Milliseconds } from "../../util/units.ts";
 import type { ReplicaEntry } from "../replicas/model.ts";
 import type { Ledger } from "./ledger.ts";
-import type { PlanAsk } from "./messages.ts";
+import type { PlanRequest } from "./messages.ts";
 import { minBy } from "./order.ts";
-import type { PromptLocations } from "./prompt_memory.ts";
+import type { PromptLocations } from "./prompt_locations.ts";
 import type { PlannerView } from "./view.ts";
 
 /**
@@ -87,7 +87,7 @@
 
   /** Selects replicas for a request; undefined: it has to wait. */
   assignmentFor(
-    request: PlanAsk,
+    request: PlanRequest,
     { decodes, prefills, mayPrefillLater, mayFit, slackMs }: EngineCandidates,
     now: Milliseconds,
   ): EngineAssignment | undefined {
@@ -117,7 +117,7 @@
    * The decode replica that has the prompt cached and has room for the request.
    */
   #cachedDecodeFor(
-    request: PlanAsk,
+    request: PlanRequest,
     decodes: readonly ReplicaEntry[],
     now: Milliseconds,
   ): ReplicaEntry | undefined {
@@ -141,7 +141,7 @@
    * hall.
    */
   decodeFor(
-    request: PlanAsk,
+    request: PlanRequest,
     decodes: readonly ReplicaEntry[],
     now: Milliseconds,
   ): ReplicaEntry | undefined {
@@ -153,7 +153,7 @@
       if (isFull || (reserved > 0 && reserved + request.tokens > memory)) {
         return Infinity;
       }
-      const penalty = hall === request.hall ? 0 : this.#view.farCharge;
+      const penalty = hall === request.hall ? 0 : this.#view.remoteHallPenalty;
       const utilization = reserved / memory;
       return Math.max(LOW_UTILIZATION, utilization) + penalty +
         utilization * TIE_BREAK_WEIGHT;
@@ -166,7 +166,7 @@
    * slows those down.
    */
   prefillsLocally(
-    request: PlanAsk,
+    request: PlanRequest,
     decode: ReplicaEntry,
     slackMs: Milliseconds,
   ): boolean {
--- a/src/gateway/planning/forecasts.ts
+++ b/src/gateway/planning/forecasts.ts
@@ -1,8 +1,8 @@
 /** Forecasts the waits at the pools of all services, and tracks refusals. */
 import type { Milliseconds } from "../../util/units.ts";
 import { Admission } from "./admission.ts";
-import type { QueuedRequest } from "./ask_queue.ts";
-import type { PlanAsk } from "./messages.ts";
+import type { QueuedRequest } from "./request_queue.ts";
+import type { PlanRequest } from "./messages.ts";
 import type { PoolSnapshot } from "./pool_snapshot.ts";
 
 /**
@@ -20,7 +20,7 @@
 /** Time from a grant to the caller's first event if the replicas are idle. */
 export function firstEventMs(
   pool: Pick<PoolSnapshot, "prefillMs">,
-  { promptTokens }: Pick<PlanAsk, "promptTokens">,
+  { promptTokens }: Pick<PlanRequest, "promptTokens">,
 ): Milliseconds {
   return pool.prefillMs(promptTokens) + FIRST_EVENT_MS;
 }
@@ -35,7 +35,7 @@
   }
 
   /** Counts a request; returns whether it was refused recently. */
-  noteRequest(request: PlanAsk, now: Milliseconds): boolean {
+  noteRequest(request: PlanRequest, now: Milliseconds): boolean {
     const admission = this.#admissionOf(request.service);
     admission.noteArrival(request, now);
     return admission.wasRefused(request.key, now);
--- a/src/gateway/planning/ledger.ts
+++ b/src/gateway/planning/ledger.ts
@@ -2,8 +2,8 @@
 import type { Milliseconds } from "../../util/units.ts";
 import {
   addSample,
-  emptyFit,
-  fittedLine,
+  computeLine,
+  createLineFit,
   type Line,
   type LineFit,
 } from "../../util/line_fit.ts";
@@ -66,7 +66,7 @@
 
   /** Prefill time at an idle replica as a line over prompt tokens. */
   prefillLineOf(replica: string): Line {
-    return fittedLine(this.#fitOf(replica)) ?? { base: 0, slope: 1 };
+    return computeLine(this.#fitOf(replica)) ?? { base: 0, slope: 1 };
   }
 
   /** Adds an assignment, replacing an earlier one of the same request. */
@@ -101,7 +101,7 @@
   #fitOf(replica: string): LineFit {
     const known = this.#fits.get(replica);
     if (known) return known;
-    const fit = emptyFit();
+    const fit = createLineFit();
     for (let count = 0; count < PRIOR_WEIGHT; count++) {
       for (const sample of PRIOR_SAMPLES) addSample(fit, sample, 1);
     }
--- a/src/gateway/planning/messages.ts
+++ b/src/gateway/planning/messages.ts
@@ -113,7 +113,7 @@
 /** From a host to its planner. */
 export type HostMessage = z.output<typeof HostMessageSchema>;
 /** Requests an assignment. */
-export type PlanAsk = z.output<typeof PlanRequestSchema>;
+export type PlanRequest = z.output<typeof PlanRequestSchema>;
 /** Hands over an assignment that an earlier planner granted. */
 export type PlanHandover = z.output<typeof PlanHandoverSchema>;
 /** Reports the progress of an assigned request. */
--- a/src/gateway/planning/plain_places.ts
+++ b/src/gateway/planning/plain_assigner.ts
@@ -3,15 +3,15 @@
  * themselves.
  */
 import type { Milliseconds } from "../../util/units.ts";
-import { LEAST_PER_SECOND } from "../limits/allowance.ts";
+import { MIN_PER_SECOND } from "../limits/allowance.ts";
 import type { ReplicaEntry } from "../replicas/model.ts";
-import type { QueuedRequest } from "./ask_queue.ts";
+import type { QueuedRequest } from "./request_queue.ts";
 import type { Ledger } from "./ledger.ts";
-import type { RequestPacer } from "./limit_pace.ts";
-import type { PlanAsk } from "./messages.ts";
+import type { RequestPacer } from "./request_pacer.ts";
+import type { PlanRequest } from "./messages.ts";
 import { choosePlainReplica } from "./plain_choice.ts";
 import { RateShare } from "./rate_share.ts";
-import { RecentPriorities } from "./urgency.ts";
+import { RecentPriorities } from "./recent_priorities.ts";
 import type { PlannerView } from "./view.ts";
 
 /**
@@ -49,7 +49,7 @@
   }
 
   /** Counts a request for an assignment. */
-  noteRequest({ service, priority }: PlanAsk, now: Milliseconds): void {
+  noteRequest({ service, priority }: PlanRequest, now: Milliseconds): void {
     this.#priorities.note(service, priority, now);
     this.#shareOf(service).noteRequest(priority, now);
   }
@@ -98,7 +98,7 @@
     const { service, hall } = queued.request;
     return choosePlainReplica(replicas, {
       hall,
-      remoteHallPenalty: view.farCharge,
+      remoteHallPenalty: view.remoteHallPenalty,
       inFlight: (incarnation) => ledger.reservedTokensAt(incarnation),
       isPaused: (incarnation) => view.isPaused(incarnation),
       isFull: (incarnation) => isFull(incarnation, now),
@@ -117,7 +117,7 @@
       if (perSecond === undefined) return undefined;
       sum += perSecond;
     }
-    return Math.max(LEAST_PER_SECOND, sum);
+    return Math.max(MIN_PER_SECOND, sum);
   }
 
   #shareOf(service: string): RateShare {
--- a/src/gateway/planning/plan_service.ts
+++ b/src/gateway/planning/plan_service.ts
@@ -35,22 +35,23 @@
     this.#context = context;
     this.#planner = new Planner({
       replicasOf: (service) =>
-        context.replicas.openOf(service).map((replica) => replica.entry)
+        context.replicas.openReplicasOf(service).map((replica) => replica.entry)
           .filter((entry) => !this.#isChanging(entry)),
       memoryOf: (service) =>
         (context.routes.service(service)?.engine?.cacheTokens ?? 0) *
         context.tuning.memoryShare,
       isPaused: (incarnation) =>
-        context.replicas.get(incarnation)?.paused(context.clock.now()) ?? false,
+        context.replicas.get(incarnation)?.isPaused(context.clock.now()) ??
+          false,
       limitOf: (incarnation) => context.limits.limitOf(incarnation),
       noteFailure: (incarnation, now) =>
         context.replicas.get(incarnation)?.noteFailure(now, false),
       noteTry: (incarnation, now) =>
-        context.replicas.get(incarnation)?.noteTry(now),
+        context.replicas.get(incarnation)?.noteTrial(now),
       noteSuccess: (incarnation) =>
         context.replicas.get(incarnation)?.noteSuccess(),
       random: context.random,
-      farCharge: context.tuning.farCharge,
+      remoteHallPenalty: context.tuning.remoteHallPenalty,
     });
   }
 
--- a/src/gateway/planning/planner.ts
+++ b/src/gateway/planning/planner.ts
@@ -6,26 +6,26 @@
  */
 import type { Milliseconds } from "../../util/units.ts";
 import type { ReplicaEntry } from "../replicas/model.ts";
-import { type QueuedRequest, RequestQueue } from "./ask_queue.ts";
+import { type QueuedRequest, RequestQueue } from "./request_queue.ts";
 import { type EngineAssignment, EngineChoice } from "./engine_choice.ts";
 import { ExportLosses } from "./export_losses.ts";
 import { firstEventMs, Forecasts } from "./forecasts.ts";
 import { Ledger } from "./ledger.ts";
-import { RequestPacer } from "./limit_pace.ts";
-import { PlainAssigner } from "./plain_places.ts";
+import { RequestPacer } from "./request_pacer.ts";
+import { PlainAssigner } from "./plain_assigner.ts";
 import { PoolSnapshot } from "./pool_snapshot.ts";
-import { PromptLocations } from "./prompt_memory.ts";
+import { PromptLocations } from "./prompt_locations.ts";
 import { refusalBasis } from "./refusal_basis.ts";
 import { stageLoad } from "./stage_load.ts";
 import type { PlannerAnswer, PlannerView, StageLoad } from "./view.ts";
 import {
   AssignmentStage,
-  type PlanAsk,
   type PlanGrant,
   type PlanHandover,
   type PlannerMessage,
   type PlanProgress,
   type PlanRefusal,
+  type PlanRequest,
 } from "./messages.ts";
 
 /** How long a replica that had no memory is given no requests. */
@@ -84,7 +84,7 @@
   }
 
   /** Queues a request; `pass` responds to it. */
-  enqueue(host: string, request: PlanAsk, now: Milliseconds): void {
+  enqueue(host: string, request: PlanRequest, now: Milliseconds): void {
     this.#ledger.remove(request.id);
     if (this.#view.memoryOf(request.service) === 0) {
       this.#plainAssigner.noteRequest(request, now);
@@ -180,7 +180,7 @@
       if (!known) pools.set(service, pool);
       return pool;
     };
-    const serviceMs = (request: PlanAsk) =>
+    const serviceMs = (request: PlanRequest) =>
       firstEventMs(poolOf(request.service), request);
     for (const queued of this.#queue.inOrder(now, serviceMs)) {
       const pool = poolOf(queued.request.service);
--- a/src/gateway/planning/places.ts
+++ b/src/gateway/planning/planner_client.ts
@@ -32,23 +32,23 @@
   /** Rank of its route; 0 is the most urgent. */
   readonly priority: number;
   readonly dueAt: Milliseconds;
-  readonly giveUpAt: Milliseconds;
+  readonly abandonAt: Milliseconds;
   /** Identifies the prompt, to recognize a retry. */
   readonly key: string;
   /** Longest retry delay that its caller accepts. */
   readonly longestRetryMs: Milliseconds;
   /** An earlier attempt may have run: the request goes before new ones. */
-  readonly begun: boolean;
+  readonly mayHaveRun: boolean;
   /** The decode replica has to do a local prefill. */
-  readonly whole: boolean;
+  readonly localPrefill: boolean;
   readonly excluded: ReadonlySet<string>;
 };
 
 /** The assigned replicas, by incarnation. */
-export type Place = { readonly decode: string; readonly prefill?: string };
+export type Assignment = { readonly decode: string; readonly prefill?: string };
 
 /** Why there is no assignment. */
-export type NoPlace = {
+export type AssignmentRefusal = {
   readonly reason: "no-replica" | "no-memory" | "busy" | "cancelled";
   readonly retryAfterMs?: Milliseconds;
   /** The planner that refused, and the state on which it decided. */
@@ -59,7 +59,7 @@
 type PendingRequest = {
   readonly request: PlacementRequest;
   planner: string;
-  resolve(result: Place | NoPlace): void;
+  resolve(result: Assignment | AssignmentRefusal): void;
 };
 
 type ProgressDetails = Pick<PlanProgress, "spentMs" | "retryAfterMs">;
@@ -79,7 +79,7 @@
 };
 
 /** Requests assignments for this host's requests and reports their progress. */
-export class Places {
+export class PlannerClient {
   readonly #context: GatewayContext;
   readonly #localPlanner: PlanService;
   readonly #hosts: () => readonly HostEntry[];
@@ -107,12 +107,12 @@
   }
 
   /** Requests an assignment; `cancel` ends the wait. */
-  find(request: PlacementRequest): {
-    readonly result: Promise<Place | NoPlace>;
+  request(request: PlacementRequest): {
+    readonly result: Promise<Assignment | AssignmentRefusal>;
     cancel(): void;
   } {
     const planner = this.plannerOf(request.service);
-    const result = new Promise<Place | NoPlace>((resolve) => {
+    const result = new Promise<Assignment | AssignmentRefusal>((resolve) => {
       this.#pending.set(request.id, { request, planner, resolve });
     });
     this.#sendRequest(planner, request);
@@ -285,11 +285,11 @@
       hall: self.hall,
       priority: request.priority,
       slackMs: request.dueAt - now,
-      patienceMs: request.giveUpAt - now,
+      patienceMs: request.abandonAt - now,
       key: request.key,
       longestRetryMs: request.longestRetryMs,
-      begun: request.begun,
-      whole: request.whole,
+      begun: request.mayHaveRun,
+      whole: request.localPrefill,
       excluded: [...request.excluded],
     });
   }
@@ -323,7 +323,10 @@
   }
 }
 
-function toAssignmentRefusal(planner: string, refusal: PlanRefusal): NoPlace {
+function toAssignmentRefusal(
+  planner: string,
+  refusal: PlanRefusal,
+): AssignmentRefusal {
   const { reason, retryAfterMs, basis } = refusal;
   const retry = retryAfterMs === undefined ? {} : { retryAfterMs };
   return { reason, planner, basis, ...retry };
--- a/src/gateway/planning/rate_share.ts
+++ b/src/gateway/planning/rate_share.ts
@@ -4,7 +4,7 @@
  * other.
  */
 import type { Milliseconds } from "../../util/units.ts";
-import { DecayingSum } from "./recent_sum.ts";
+import { DecayingSum } from "./decaying_sum.ts";
 
 /** Time constant of the measured rates. */
 const RATE_WINDOW_MS = 4000;
--- a/src/gateway/planning/limit_pace.ts
+++ b/src/gateway/planning/request_pacer.ts
@@ -4,10 +4,10 @@
  * and its refusals hold back the replica here.
  */
 import type { Milliseconds } from "../../util/units.ts";
-import { forgetOldest } from "../../util/forget_oldest.ts";
+import { evictOldest } from "../../util/evict_oldest.ts";
 import type { ReplicaEntry } from "../replicas/model.ts";
 import type { PlanProgress } from "./messages.ts";
-import { LEAST_PER_SECOND } from "../limits/allowance.ts";
+import { MIN_PER_SECOND } from "../limits/allowance.ts";
 
 /**
  * A limited replica is given requests at up to this multiple of its rate, to
@@ -117,11 +117,11 @@
     if (known) return known;
     const state = { theoreticalArrivalAt: 0, fullUntil: 0, refusedAt: 0 };
     this.#states.set(incarnation, state);
-    forgetOldest(this.#states, MAX_REPLICAS);
+    evictOldest(this.#states, MAX_REPLICAS);
     return state;
   }
 }
 
 function intervalMs(perSecond: number): Milliseconds {
-  return 1000 / (CATCH_UP_FACTOR * Math.max(LEAST_PER_SECOND, perSecond));
+  return 1000 / (CATCH_UP_FACTOR * Math.max(MIN_PER_SECOND, perSecond));
 }
--- a/src/gateway/planning/ask_queue.ts
+++ b/src/gateway/planning/request_queue.ts
@@ -1,13 +1,13 @@
 /** Requests that wait for an assignment at a planner. */
 import type { Milliseconds } from "../../util/units.ts";
-import type { PlanAsk } from "./messages.ts";
+import type { PlanRequest } from "./messages.ts";
 import { schedulingOrder } from "./order.ts";
 
 /** A request that waits. */
 export type QueuedRequest = {
   /** The host that sent the request. */
   readonly host: string;
-  readonly request: PlanAsk;
+  readonly request: PlanRequest;
   readonly mayHaveRun: boolean;
   readonly priority: number;
   /** When its first event is due. */
@@ -61,7 +61,7 @@
    */
   inOrder(
     now: Milliseconds,
-    serviceMs: (request: PlanAsk) => Milliseconds,
+    serviceMs: (request: PlanRequest) => Milliseconds,
   ): QueuedRequest[] {
     const all = [...this.#requests.values()];
     return schedulingOrder(all, now, ({ request }) => serviceMs(request));
--- a/src/gateway/planning/view.ts
+++ b/src/gateway/planning/view.ts
@@ -25,7 +25,7 @@
   /** In [0, 1). */
   random(): number;
   /** Cost of a replica in another hall, as a share of a replica's memory. */
-  readonly farCharge: number;
+  readonly remoteHallPenalty: number;
 };
 
 /** Utilization of a service's stages: shares of replicas and of memory. */
--- a/src/gateway/port.ts
+++ b/src/gateway/port.ts
@@ -5,18 +5,18 @@
 import type { IncomingHttpHeaders } from "node:http";
 import type { Milliseconds } from "../util/units.ts";
 import type { RouteConfig } from "./routing/model.ts";
-import type { StorePlace } from "./position.ts";
+import type { StorePosition } from "./position.ts";
 import type { ReplicaEntry, ReplicaStage } from "./replicas/model.ts";
 import type { ReplicaNotice } from "./replicas/notice.ts";
 
 /** Metadata of a request, parsed from its headers. */
-export type RequestFacts = {
+export type RequestMetadata = {
   /** The caller's id for this attempt. */
   readonly id?: string;
   /** The caller's timeout. */
-  readonly patienceMs?: Milliseconds;
+  readonly timeoutMs?: Milliseconds;
   /** The longest `Retry-After` that the caller honors. */
-  readonly longestRetryMs?: Milliseconds;
+  readonly maxRetryAfterMs?: Milliseconds;
   /** 0 if the headers name no prompt. */
   readonly promptTokens: number;
   /** Identifies the prompt; the same for all attempts of a request. */
@@ -24,7 +24,7 @@
   /** Maximum number of tokens to generate. */
   readonly outputLimit: number;
   /** The caller's estimate of the tokens to generate. */
-  readonly outputHint?: number;
+  readonly estimatedOutput?: number;
   /** Id of the last event that the caller has received. */
   readonly lastEventId?: string;
   /** SHA-256, in hex, of the customer's key. */
@@ -42,14 +42,14 @@
 export type CallMode = typeof CallMode[keyof typeof CallMode];
 
 /** Metadata that the gateway adds to a request when it forwards it. */
-export type CallHead = {
+export type CallMetadata = {
   readonly mode: CallMode;
   /** Id of the intended replica; any other replica at the address rejects it. */
   readonly replica: string;
   /** Priority in the model engine's queue; 0 is the most urgent. */
   readonly priority?: number;
   /** Time left until the caller's timeout; absent if the caller set none. */
-  readonly patienceMs?: Milliseconds;
+  readonly timeLeftMs?: Milliseconds;
   /** The finished prefill to decode from, and the address that stores it. */
   readonly export?: { readonly address: string; readonly id: string };
   /** Id of the memory reservation for this request. */
@@ -61,7 +61,7 @@
 };
 
 /** Metadata of a replica's response, parsed from its status and headers. */
-export type AnswerFacts = ReplicaNotice & {
+export type AnswerMetadata = ReplicaNotice & {
   /** Id of the request that it answers. */
   readonly id?: string;
   /** The replica reports that the request did not run. */
@@ -71,7 +71,7 @@
 };
 
 /** A call that the gateway makes itself, with a JSON body if any. */
-export type SmallCall = {
+export type JsonCall = {
   readonly method: "POST" | "DELETE" | "GET";
   readonly path: string;
   /** JSON text. */
@@ -82,9 +82,9 @@
 export type EngineReport = {
   readonly stage: ReplicaStage;
   /** Number of orders that it has accepted. */
-  readonly orders: number;
+  readonly orderCount: number;
   /** An order is in progress. */
-  readonly changing: boolean;
+  readonly isChanging: boolean;
 };
 
 /** An order to change stage, issued under a lease. */
@@ -99,7 +99,7 @@
 };
 
 /** A call whose headers name the incarnation that may accept it. */
-export type OrderCall = SmallCall & { readonly headers: readonly string[] };
+export type OrderCall = JsonCall & { readonly headers: readonly string[] };
 
 /** A model engine's response to an order. */
 export const OrderOutcome = {
@@ -115,19 +115,19 @@
 /** Wire format of callers' requests and of calls to replicas. */
 export type Dialect = {
   /** Parses the headers of a caller's request. */
-  readRequest(headers: IncomingHttpHeaders): RequestFacts;
+  readRequest(headers: IncomingHttpHeaders): RequestMetadata;
   /** End-to-end headers to forward, as alternating names and values. */
-  callHeaders(rawHeaders: readonly string[], head: CallHead): string[];
-  readAnswer(status: number, headers: IncomingHttpHeaders): AnswerFacts;
+  callHeaders(rawHeaders: readonly string[], head: CallMetadata): string[];
+  readAnswer(status: number, headers: IncomingHttpHeaders): AnswerMetadata;
   /** Parses the id of a finished prefill's export. */
   readExport(body: string): string | undefined;
-  reserve(tokens: number, ttlMs: Milliseconds): SmallCall;
+  reserve(tokens: number, ttlMs: Milliseconds): JsonCall;
   /** Parses the id of a reservation. */
   readReservation(body: string): string | undefined;
-  dropReservation(id: string): SmallCall;
-  dropExport(id: string): SmallCall;
+  dropReservation(id: string): JsonCall;
+  dropExport(id: string): JsonCall;
   /** Requests the status of a model engine. */
-  readonly report: SmallCall;
+  readonly report: JsonCall;
   readReport(body: string): EngineReport | undefined;
   /** Creates the call for an order. */
   orderStage(order: StageOrder): OrderCall;
@@ -153,7 +153,7 @@
 export type RowFault = { readonly key: string; readonly reason: string };
 
 /** Common fields of replica reads, as of a position in the store's history. */
-type ReplicaReading = StorePlace & {
+type ReplicaReading = StorePosition & {
   /** Time by the store's monotonic clock. */
   readonly nowMs: Milliseconds;
   readonly faults?: readonly RowFault[];
@@ -178,7 +178,7 @@
    * longer contains `from`.
    */
   watchReplicas(
-    from: StorePlace,
+    from: StorePosition,
     waitMs: Milliseconds,
     signal: AbortSignal,
   ): Promise<StoreChanges | undefined>;
@@ -186,14 +186,14 @@
   readConfig(signal: AbortSignal): Promise<ConfigReading>;
   /** Long poll: resolves once the configuration may have changed since `from`. */
   watchConfig(
-    from: StorePlace,
+    from: StorePosition,
     waitMs: Milliseconds,
     signal: AbortSignal,
   ): Promise<ConfigReading>;
   /** Reads the gateway's own rows of a table. */
   readRows(table: string, signal: AbortSignal): Promise<RowReading>;
   /** Writes a row; rejects if it is unknown whether the write was applied. */
-  writeRow(write: RowWrite, signal: AbortSignal): Promise<RowWritten>;
+  writeRow(write: RowWrite, signal: AbortSignal): Promise<RowWriteResult>;
 };
 
 /** A row that the gateway itself maintains. */
@@ -223,7 +223,7 @@
 };
 
 /** Result of a write. */
-export type RowWritten =
+export type RowWriteResult =
   | {
     readonly type: "written";
     readonly revision: number;
@@ -237,7 +237,7 @@
 /** The store's response to a read of the configuration. */
 export type ConfigReading = {
   /** Position to watch from; undefined: history was lost, read it again. */
-  readonly place?: StorePlace;
+  readonly position?: StorePosition;
   /** Absent if it has not changed or does not exist. */
   readonly config?: RouteConfig;
 };
--- a/src/gateway/position.ts
+++ b/src/gateway/position.ts
@@ -14,7 +14,7 @@
 const REVISIONS_PER_ERA = 2 ** 40;
 
 /** A position as the store reports it. */
-export type StorePlace = {
+export type StorePosition = {
   /** Increases with each write; lower after a restore from a backup. */
   readonly revision: number;
   /** Number of restores from a backup; undefined if the store reports none. */
--- a/src/gateway/program.ts
+++ b/src/gateway/program.ts
@@ -8,7 +8,7 @@
 import { ExitCode } from "../programs/common/exit_code.ts";
 // Not the folder's entry file: loading other programs' schemas slows startup.
 import { GatewaySchema, type GatewaySettings } from "../settings/gateway.ts";
-import { faultLine, loadSettings } from "../settings/load.ts";
+import { formatFault, loadSettings } from "../settings/load.ts";
 import { onReload } from "./early_reload.ts";
 import { startGateway } from "./gateway.ts";
 import type { PlatformPort } from "./port.ts";
@@ -31,7 +31,7 @@
   /** Creates the platform port. */
   connect(settings: GatewaySettings): PlatformPort;
   /** Settings file to use if the command line names none. */
-  readonly usualSettings: string | undefined;
+  readonly defaultSettings: string | undefined;
 };
 
 /** Runs the gateway until it receives a stop signal. */
@@ -50,7 +50,7 @@
     console.log(`${flags.checkSettings}: good`);
     return;
   }
-  const file = flags.settings ?? program.usualSettings;
+  const file = flags.settings ?? program.defaultSettings;
   if (file === undefined) {
     console.error("--settings FILE is missing; see --help");
     process.exit(ExitCode.usage);
@@ -64,7 +64,7 @@
   const reload = (cause: string) => {
     const loaded = loadSettings(file, GatewaySchema);
     if (loaded.ok) gateway.reload(loaded.val, cause);
-    else gateway.noteFault(loaded.val.map(faultLine).join("; "));
+    else gateway.noteFault(loaded.val.map(formatFault).join("; "));
   };
   onReload(() => reload("SIGHUP"));
   watchFile(
--- a/src/gateway/quota/uses.ts
+++ b/src/gateway/quota/acquisition_log.ts
@@ -2,13 +2,13 @@
  * Records what a host acquired recently, to report it to owners that lack it.
  */
 import type { Milliseconds } from "../../util/units.ts";
-import type { QuotaTake } from "./ledger.ts";
+import type { QuotaRequest } from "./ledger.ts";
 import type { QuotaUsage } from "./messages.ts";
 import { shardOf } from "./shards.ts";
 
 /** Units that this host has acquired. */
 export type Acquisition = {
-  readonly request: QuotaTake;
+  readonly request: QuotaRequest;
   /** When the units may be used. */
   readonly at: Milliseconds;
   /** Runs of the owners that granted it or received a report of it. */
@@ -29,7 +29,7 @@
   }
 
   /** Adds past acquisitions that no owner has on record. */
-  addUnreported(request: QuotaTake, times: readonly Milliseconds[]): void {
+  addUnreported(request: QuotaRequest, times: readonly Milliseconds[]): void {
     const unreported = times.map((at) => ({
       request,
       at,
--- a/src/gateway/quota/ledger.ts
+++ b/src/gateway/quota/ledger.ts
@@ -29,7 +29,7 @@
 const OWNER_CHANGE_RETRY_MS = 1000;
 
 /** A request for units of an account. */
-export type QuotaTake = {
+export type QuotaRequest = {
   /** Name of the account: a customer, or the incarnation of a replica. */
   readonly customer: string;
   readonly units: number;
@@ -52,7 +52,7 @@
    * Time for which members retain what they acquired, to report it to a new
    * owner. A host that has run for less counts only in part.
    */
-  readonly memoryMs: () => Milliseconds;
+  readonly retentionMs: () => Milliseconds;
   /** Number of hosts in the fleet, including this one. */
   readonly knownHosts: () => number;
 };
@@ -113,7 +113,7 @@
   }
 
   /** Grants units, in advance if they are available within `mostWaitMs`. */
-  take(request: QuotaTake, now: Milliseconds): QuotaDecision {
+  acquire(request: QuotaRequest, now: Milliseconds): QuotaDecision {
     this.#sweep(now);
     const { customer, units, mostWaitMs } = request;
     const account = this.#accountFor(customer, request);
@@ -166,19 +166,19 @@
 
   #shareOf(coverage: Coverage, now: Milliseconds): number {
     const hosts = this.#options.knownHosts();
-    const windowMs = this.#options.memoryMs();
+    const windowMs = this.#options.retentionMs();
     return coverage.shareAt(now, { hosts, windowMs });
   }
 
   /** The account, with the rate of the newest configuration observed. */
   #accountFor(
     customer: string,
-    { rate, version }: Pick<QuotaTake, "rate" | "version">,
+    { rate, version }: Pick<QuotaRequest, "rate" | "version">,
   ): Account {
     const { accounts } = this.#shardOf(customer);
     const known = accounts.get(customer);
     if (!known) {
-      const windowMs = this.#options.memoryMs();
+      const windowMs = this.#options.retentionMs();
       const account = { log: new WindowLog(), rate, version, windowMs };
       accounts.set(customer, account);
       return account;
--- a/src/gateway/quota/member.ts
+++ b/src/gateway/quota/member.ts
@@ -10,7 +10,7 @@
 import { HostOrders } from "../peers/host_order.ts";
 import type { Link, LinkEvents, LinkPath, LinkTarget } from "../peers/link.ts";
 import type { HostEntry } from "../port.ts";
-import type { QuotaDecision, QuotaTake } from "./ledger.ts";
+import type { QuotaDecision, QuotaRequest } from "./ledger.ts";
 import {
   type MemberMessage,
   type OwnerMessage,
@@ -19,7 +19,7 @@
 import type { QuotaOwner } from "./owner.ts";
 import { orderKeyOf, SHARD_COUNT, shardOf } from "./shards.ts";
 import { Suspects } from "./suspects.ts";
-import { type Acquisition, AcquisitionLog } from "./uses.ts";
+import { type Acquisition, AcquisitionLog } from "./acquisition_log.ts";
 
 /**
  * Time after which an owner that does not respond is replaced by the next one:
@@ -43,7 +43,7 @@
     /** Delay before the units may be used. */
     readonly afterMs: Milliseconds;
     /** Returns units that were not used. */
-    giveBack(): void;
+    release(): void;
   };
 
 /** Options of {@link QuotaMember}. */
@@ -51,11 +51,11 @@
   readonly self: { readonly id: HostId; readonly hall: HallId };
   readonly clock: Clock;
   /** The owner in this process. */
-  readonly own: QuotaOwner;
+  readonly localOwner: QuotaOwner;
   /** The other hosts; the same array as long as none changes. */
   readonly hosts: () => readonly HostEntry[];
   /** Time for which acquisitions are retained, to report them to new owners. */
-  readonly memoryMs: () => Milliseconds;
+  readonly retentionMs: () => Milliseconds;
   /** Path of the links to owners. */
   readonly path: LinkPath;
   /** Called when the link to a connected owner has closed. */
@@ -65,7 +65,7 @@
 };
 
 type PendingRequest = {
-  readonly request: QuotaTake;
+  readonly request: QuotaRequest;
   owner: HostId;
   ownersTried: number;
   cancelTimer: () => void;
@@ -113,7 +113,7 @@
   }
 
   /** Acquires units for a request. */
-  take(request: QuotaTake): Promise<QuotaOutcome> {
+  acquire(request: QuotaRequest): Promise<QuotaOutcome> {
     this.#requestCount += 1;
     const id = String(this.#requestCount);
     return new Promise((resolve) => {
@@ -126,7 +126,7 @@
   }
 
   /** Records units that were used at these times without an owner's grant. */
-  noteTaken(request: QuotaTake, times: readonly Milliseconds[]): void {
+  noteAcquired(request: QuotaRequest, times: readonly Milliseconds[]): void {
     if (times.length === 0) return;
     this.#acquisitions.addUnreported(request, times);
     this.#reportedToSelf = NOT_REPORTED;
@@ -135,7 +135,7 @@
   }
 
   /** Closes the links to owners until the next request or refresh. */
-  idle(): void {
+  closeLinks(): void {
     this.#ownersByShard.clear();
     this.#reportedToSelf = NOT_REPORTED;
     for (const [id, { link }] of this.#links) {
@@ -269,7 +269,10 @@
     const local = shardsOf(self.id);
     if (local.join() !== this.#reportedToSelf) {
       this.#reportedToSelf = local.join();
-      this.#send(self.id, this.#membership(local, this.#options.own.run));
+      this.#send(
+        self.id,
+        this.#membership(local, this.#options.localOwner.run),
+      );
     }
     for (const [id, link] of this.#links) {
       const shards = shardsOf(id);
@@ -281,7 +284,7 @@
 
   /** The report of these shards, with what other owners granted from them. */
   #membership(shards: readonly number[], run: string): MemberMessage {
-    const { clock, memoryMs } = this.#options;
+    const { clock, retentionMs: memoryMs } = this.#options;
     const now = clock.now();
     const oldest = now - memoryMs();
     const usage = this.#acquisitions.reportTo({ run, shards }, { oldest, now });
@@ -292,7 +295,7 @@
   #send(owner: HostId, message: MemberMessage): void {
     const { self } = this.#options;
     if (owner !== self.id) return this.#links.get(owner)?.link.send(message);
-    const reply = this.#options.own.handle(self.id, message);
+    const reply = this.#options.localOwner.handle(self.id, message);
     if (reply) this.#receive(self.id, reply);
   }
 
@@ -313,15 +316,16 @@
     const { afterMs } = message;
     const acquired = this.#noteAcquisition(pending.request, from, afterMs);
     const releaseUnits = () => this.#release(acquired);
-    pending.resolve({ type: "granted", afterMs, giveBack: releaseUnits });
+    pending.resolve({ type: "granted", afterMs, release: releaseUnits });
   }
 
   #noteAcquisition(
-    request: QuotaTake,
+    request: QuotaRequest,
     owner: HostId,
     afterMs: Milliseconds,
   ): Acquisition {
-    const { clock, self, own, memoryMs } = this.#options;
+    const { clock, self, localOwner: own, retentionMs: memoryMs } =
+      this.#options;
     const run = owner === self.id ? own.run : this.#links.get(owner)?.run;
     const now = clock.now();
     const entry = { request, at: now + afterMs, knownTo: new Set([run ?? ""]) };
--- a/src/gateway/quota/owner.ts
+++ b/src/gateway/quota/owner.ts
@@ -53,7 +53,7 @@
         this.#ledger.setMember(from, message, now);
         return undefined;
       case "take":
-        return { id: message.id, ...this.#ledger.take(message, now) };
+        return { id: message.id, ...this.#ledger.acquire(message, now) };
       case "give-back":
         this.#ledger.release(message, now);
         return undefined;
--- a/src/gateway/replicas/backoffs.ts
+++ b/src/gateway/replicas/backoffs.ts
@@ -5,7 +5,7 @@
  * requests prefer other replicas until it is answered.
  */
 import type { Milliseconds } from "../../util/units.ts";
-import { forgetOldest } from "../../util/forget_oldest.ts";
+import { evictOldest } from "../../util/evict_oldest.ts";
 
 /** Caps a backoff, so that a faulty header can't disable a replica for good. */
 const MAX_BACKOFF_MS: Milliseconds = 10 * 60_000;
@@ -51,7 +51,7 @@
       until: Math.max(until, before),
       trialUntil: -Infinity,
     });
-    forgetOldest(this.#backoffs, MAX_REPLICAS);
+    evictOldest(this.#backoffs, MAX_REPLICAS);
     return before <= now;
   }
 
--- a/src/gateway/replicas/choice.ts
+++ b/src/gateway/replicas/choice.ts
@@ -7,10 +7,10 @@
   /** The preferred data hall. */
   readonly hall: string;
   /** Added to the cost of replicas in other halls, in units of load. */
-  readonly farCharge: number;
+  readonly remoteHallPenalty: number;
   readonly now: Milliseconds;
   /** A random number in [0, 1), which breaks ties. */
-  readonly chance: number;
+  readonly randomValue: number;
   /** Incarnations that must not be chosen. */
   readonly excluded: ReadonlySet<string>;
 };
@@ -27,16 +27,18 @@
   const allowed = replicas.filter((replica) =>
     !query.excluded.has(replica.entry.incarnation)
   );
-  const healthy = allowed.filter((replica) => !replica.paused(query.now));
+  const healthy = allowed.filter((replica) => !replica.isPaused(query.now));
   const candidates = healthy.length > 0 ? healthy : allowed;
   if (candidates.length === 0) return undefined;
-  const start = Math.floor(query.chance * candidates.length);
+  const start = Math.floor(query.randomValue * candidates.length);
   let best: Replica | undefined;
   let bestCost = Infinity;
   for (let step = 0; step < candidates.length; step++) {
     const replica = candidates[(start + step) % candidates.length];
     if (!replica) continue;
-    const penalty = replica.entry.hall === query.hall ? 0 : query.farCharge;
+    const penalty = replica.entry.hall === query.hall
+      ? 0
+      : query.remoteHallPenalty;
     const cost = load(replica) + penalty + replica.failures;
     if (cost >= bestCost) continue;
     best = replica;
--- a/src/gateway/replicas/create_replica_state.ts
+++ b/src/gateway/replicas/create_replica_state.ts
@@ -6,7 +6,7 @@
 import type { Metrics } from "../observe/metrics.ts";
 import type { Link, LinkEvents, LinkTarget } from "../peers/link.ts";
 import type { HostDirectory } from "../peers/directory.ts";
-import { LeavingReplicas } from "./leaving_replicas.ts";
+import { DrainingReplicas } from "./draining_replicas.ts";
 import { ReplicaGate } from "./replica_gate.ts";
 import { ReplicaTable } from "./replica_table.ts";
 
@@ -30,7 +30,7 @@
 export type ReplicaState = {
   readonly replicas: ReplicaTable;
   readonly limits: ReplicaLimits;
-  readonly leaving: LeavingReplicas;
+  readonly draining: DrainingReplicas;
   readonly gate: ReplicaGate;
 };
 
@@ -38,7 +38,7 @@
 export function createReplicaState(options: ReplicaStateOptions): ReplicaState {
   const { self, clock, random, events, metrics, directory, openLink } = options;
   const replicas = new ReplicaTable();
-  const leaving = new LeavingReplicas(replicas, events);
+  const leaving = new DrainingReplicas(replicas, events);
   const limits = new ReplicaLimits({
     self,
     clock,
@@ -57,5 +57,5 @@
     draining: leaving,
     limits,
   });
-  return { replicas, limits, leaving, gate };
+  return { replicas, limits, draining: leaving, gate };
 }
--- a/src/gateway/replicas/leaving_replicas.ts
+++ b/src/gateway/replicas/draining_replicas.ts
@@ -16,7 +16,7 @@
 ) => void;
 
 /** Collects the draining replicas and notifies listeners of new ones. */
-export class LeavingReplicas {
+export class DrainingReplicas {
   readonly #replicas: ReplicaTable;
   readonly #events: EventLog;
   readonly #listeners: DrainingListener[] = [];
@@ -46,12 +46,12 @@
   }
 
   /** Announces replicas that the listing reports; the table has them already. */
-  listed(incarnations: readonly string[]): void {
+  announceListed(incarnations: readonly string[]): void {
     this.#notify(incarnations, undefined);
   }
 
   /** Handles a report of another host. */
-  take(incarnations: readonly string[], from: unknown): void {
+  receive(incarnations: readonly string[], from: unknown): void {
     const added = this.#replicas.noteDraining(incarnations);
     for (const replica of added) {
       this.#events.note("replicaLeaving", { replica, source: "link" });
--- a/src/gateway/replicas/replica.ts
+++ b/src/gateway/replicas/replica.ts
@@ -20,7 +20,7 @@
 export class Replica {
   entry: ReplicaEntry;
   /** Calls of this host that are in flight. */
-  calls = 0;
+  activeCalls = 0;
   /** Times of recent sends that were counted against no limit, oldest first. */
   #uncountedSends: Milliseconds[] = [];
   #failures = 0;
@@ -31,7 +31,7 @@
   }
 
   /** Whether the replica is paused after failures. */
-  paused(now: Milliseconds): boolean {
+  isPaused(now: Milliseconds): boolean {
     return now < this.#pausedUntil;
   }
 
@@ -56,7 +56,7 @@
   }
 
   /** Records a call; after failures it pauses the replica as a trial call. */
-  noteTry(now: Milliseconds): void {
+  noteTrial(now: Milliseconds): void {
     if (this.#failures < FAILURES_TO_PAUSE) return;
     this.#pausedUntil = Math.max(this.#pausedUntil, now + TRIAL_TIMEOUT_MS);
   }
--- a/src/gateway/replicas/replica_gate.ts
+++ b/src/gateway/replicas/replica_gate.ts
@@ -8,7 +8,7 @@
 import type { PermitOutcome, ReplicaLimits } from "../limits/replica_limits.ts";
 import type { EventLog } from "../observe/event_log.ts";
 import { Backoffs } from "./backoffs.ts";
-import type { LeavingReplicas } from "./leaving_replicas.ts";
+import type { DrainingReplicas } from "./draining_replicas.ts";
 import type { ReplicaEntry, ReplicaStage } from "./model.ts";
 import type { ReplicaNotice } from "./notice.ts";
 import type { Replica } from "./replica.ts";
@@ -24,7 +24,7 @@
   readonly random: () => number;
   readonly events: EventLog;
   readonly replicas: ReplicaTable;
-  readonly draining: LeavingReplicas;
+  readonly draining: DrainingReplicas;
   readonly limits: ReplicaLimits;
 };
 
@@ -47,7 +47,7 @@
     /** Incarnations that must not be chosen: those given, and unavailable ones. */
     readonly excluded: ReadonlySet<string>;
     /** Time until the first excluded one may be used; Infinity if none will be. */
-    readonly nextMs: Milliseconds;
+    readonly nextAvailableMs: Milliseconds;
   }
   /** No replica is usable, and the first backoff ends after this time. */
   | { readonly type: "none"; readonly retryAfterMs: Milliseconds };
@@ -102,9 +102,9 @@
   /** Returns which replicas of a service this host may use for a request now. */
   available({ service, stage, excluded }: ReplicaRequirements): Availability {
     if (this.#backoffs.size === 0) {
-      return { type: "some", excluded, nextMs: Infinity };
+      return { type: "some", excluded, nextAvailableMs: Infinity };
     }
-    const open = this.#options.replicas.openOf(service);
+    const open = this.#options.replicas.openReplicasOf(service);
     const answering = open.filter((replica) => replica.entry.stage === stage);
     const closed = new Set(excluded);
     for (const replica of open) {
@@ -117,7 +117,7 @@
     }
     const trialMs = this.#excludeOnTrial(open, closed);
     const minLeftMs = Math.min(nextMs, trialMs);
-    return { type: "some", excluded: closed, nextMs: minLeftMs };
+    return { type: "some", excluded: closed, nextAvailableMs: minLeftMs };
   }
 
   /** Time until the first backoff of the replicas ends. */
@@ -158,24 +158,24 @@
   }
 
   /** Handles the headers of a response to a request. */
-  hear(
+  observe(
     incarnation: string,
     notice: ReplicaNotice,
     answered: AnsweredCall,
   ): void {
     const { limits } = this.#options;
     const { sentAt } = answered;
-    limits.hear(incarnation, notice.limit, sentAt);
+    limits.observe(incarnation, notice.limit, sentAt);
     const isAccepted = notice.backoff.type === "none";
     if (isAccepted) this.#backoffs.noteAccepted(incarnation, sentAt);
-    this.hearCall(incarnation, notice, answered);
+    this.observeCall(incarnation, notice, answered);
   }
 
   /**
    * Handles the headers of a response that counts against no limit: to one of
    * the host's own calls, or to no known request.
    */
-  hearCall(
+  observeCall(
     incarnation: string,
     { leaving, backoff }: Omit<ReplicaNotice, "limit">,
     { request }: AnsweredCall,
--- a/src/gateway/replicas/replica_table.ts
+++ b/src/gateway/replicas/replica_table.ts
@@ -1,5 +1,5 @@
 /** The table of replicas; older listings never replace newer ones. */
-import { forgetOldest } from "../../util/forget_oldest.ts";
+import { evictOldest } from "../../util/evict_oldest.ts";
 import { eraOf, type Position } from "../position.ts";
 import { ListingHistory } from "./listing_history.ts";
 import type {
@@ -23,26 +23,26 @@
    * Exclude replicas that were removed in an earlier era, since the store may
    * have been restored from a backup. They must not get new requests.
    */
-  readonly leaveOutGone?: boolean;
+  readonly excludeRemoved?: boolean;
 };
 
 /** What a listing changed in the table. */
 export type ListingChange = {
   readonly added: readonly ReplicaEntry[];
   readonly removed: readonly ReplicaEntry[];
-  readonly leaving: readonly ReplicaEntry[];
+  readonly draining: readonly ReplicaEntry[];
   /** Not listed, but kept, since the store may have lost their entries. */
   readonly kept: readonly ReplicaEntry[];
   /** Ids of replicas that are new, restarted, or whose entry has changed. */
-  readonly renewed: readonly string[];
+  readonly changedIds: readonly string[];
 };
 
 const NO_CHANGE: ListingChange = {
   added: [],
   removed: [],
-  leaving: [],
+  draining: [],
   kept: [],
-  renewed: [],
+  changedIds: [],
 };
 
 /** Replicas, indexed by incarnation and by service. */
@@ -67,7 +67,7 @@
    * The position from which deltas can be applied; -1 when a full listing is
    * needed, since the table differs from the listing at its position.
    */
-  get base(): Position {
+  get deltaBase(): Position {
     return this.#differsFromListing ? -1 : this.#revision;
   }
 
@@ -84,7 +84,8 @@
   /** Adopts a full listing; returns undefined if it is older than the table. */
   adopt(
     listing: ReplicaListing,
-    { keepMissing = false, leaveOutGone = false }: AdoptOptions = {},
+    { keepMissing = false, excludeRemoved: leaveOutGone = false }:
+      AdoptOptions = {},
   ): ListingChange | undefined {
     if (listing.revision < this.#revision) return undefined;
     this.#revision = listing.revision;
@@ -106,7 +107,7 @@
     this.#byService = groupByService(this.#byIncarnation.values());
     const ids = new Set(this.entries().map((entry) => entry.id));
     this.#history.record(listing.revision, this.entries(), {
-      changed: change.renewed,
+      changed: change.changedIds,
       removed: change.removed.map((entry) => entry.id).filter((id) =>
         !ids.has(id)
       ),
@@ -115,7 +116,7 @@
   }
 
   /** Returns the changes since `revision`; see {@link ListingHistory}. */
-  after(revision: number): ListingDelta | undefined {
+  deltaSince(revision: number): ListingDelta | undefined {
     return this.#history.deltaSince(revision);
   }
 
@@ -123,9 +124,9 @@
    * Applies a delta of another host. Returns "older" if this table is newer, and
    * "gap" if the delta doesn't lead to the other host's listing.
    */
-  follow(delta: ListingDelta): ListingChange | "older" | "gap" {
+  applyDelta(delta: ListingDelta): ListingChange | "older" | "gap" {
     if (delta.revision < this.#revision) return "older";
-    if (delta.since > this.base) return "gap";
+    if (delta.since > this.deltaBase) return "gap";
     if (this.#isEmptyDelta(delta)) return this.#advanceTo(delta.revision);
     const entries = this.#entriesAfter(delta);
     if (entries.length !== delta.size) return "gap";
@@ -133,7 +134,7 @@
   }
 
   /** Applies changes of the store; returns undefined if they are older. */
-  change(changes: ListingChanges): ListingChange | undefined {
+  applyChanges(changes: ListingChanges): ListingChange | undefined {
     const { revision, changed, gone } = changes;
     if (revision < this.#revision) return undefined;
     const isEmpty = changed.length === 0 && gone.length === 0;
@@ -177,7 +178,7 @@
     for (const { incarnation } of added) this.#removedAt.delete(incarnation);
     for (const { incarnation } of removed) {
       this.#removedAt.set(incarnation, this.#revision);
-      forgetOldest(this.#removedAt, MAX_REMEMBERED);
+      evictOldest(this.#removedAt, MAX_REMEMBERED);
     }
   }
 
@@ -194,7 +195,7 @@
   #withDraining(entry: ReplicaEntry): ReplicaEntry {
     const { incarnation, leaving } = entry;
     if (leaving) this.#draining.add(incarnation);
-    forgetOldest(this.#draining, MAX_REMEMBERED);
+    evictOldest(this.#draining, MAX_REMEMBERED);
     const isUnchanged = leaving || !this.#draining.has(incarnation);
     return isUnchanged ? entry : { ...entry, leaving: true };
   }
@@ -208,7 +209,7 @@
       !this.#draining.has(incarnation)
     );
     for (const incarnation of added) this.#draining.add(incarnation);
-    forgetOldest(this.#draining, MAX_REMEMBERED);
+    evictOldest(this.#draining, MAX_REMEMBERED);
     return added;
   }
 
@@ -233,17 +234,17 @@
   isOpen(replica: Replica): boolean {
     const { incarnation } = replica.entry;
     const isListed = this.#byIncarnation.get(incarnation) === replica;
-    return isListed && !this.isLeaving(replica.entry);
+    return isListed && !this.isDraining(replica.entry);
   }
 
   /** Replicas of a service that accept new requests. */
-  openOf(service: string): Replica[] {
+  openReplicasOf(service: string): Replica[] {
     const all = this.#byService.get(service) ?? [];
-    return all.filter((replica) => !this.isLeaving(replica.entry));
+    return all.filter((replica) => !this.isDraining(replica.entry));
   }
 
   /** Whether the replica is draining, by its entry or any other report. */
-  isLeaving({ incarnation, leaving }: ReplicaEntry): boolean {
+  isDraining({ incarnation, leaving }: ReplicaEntry): boolean {
     return leaving || this.#draining.has(incarnation);
   }
 }
@@ -262,12 +263,12 @@
     keepMissing && !entry.leaving && !ids.has(entry.id);
   return {
     added: entries.filter((entry) => !knownOf(entry)),
-    leaving: entries.filter((entry) =>
+    draining: entries.filter((entry) =>
       entry.leaving && knownOf(entry)?.leaving === false
     ),
     removed: missing.filter((entry) => !isKept(entry)),
     kept: missing.filter(isKept),
-    renewed: entries.filter((entry) => !isSameEntry(entry, knownOf(entry)))
+    changedIds: entries.filter((entry) => !isSameEntry(entry, knownOf(entry)))
       .map((entry) => entry.id),
   };
 }
--- a/src/gateway/requests/attempts.ts
+++ b/src/gateway/requests/attempts.ts
@@ -1,7 +1,7 @@
 /** Tracks the sends of one request and decides whether another is allowed. */
 import type { GatewayContext } from "../context.ts";
 import type { ReplicaEntry } from "../replicas/model.ts";
-import { repeatable } from "../routing/model.ts";
+import { isRepeatable } from "../routing/model.ts";
 import type { GatewayRequest } from "./request.ts";
 
 /** Maximum sends of one request, including those that did not run. */
@@ -52,7 +52,7 @@
   }
 
   get hasTimeLeft(): boolean {
-    return this.#context.clock.now() < this.#request.limitAt;
+    return this.#context.clock.now() < this.#request.deadline;
   }
 
   /** Whether the route allows no further run. */
@@ -103,7 +103,7 @@
 
   /** Whether the route allows a retry after a send that may have run. */
   get repeatable(): boolean {
-    return repeatable(this.#request.route);
+    return isRepeatable(this.#request.route);
   }
 
   /** Acquires a retry if the route, the deadline and the budget allow it. */
@@ -140,7 +140,8 @@
 
   /** Charges `count` more arrivals; the first arrival of a request is free. */
   #charge(count: number, reason: string): boolean {
-    const { clock, budget, events, metrics, hostCount } = this.#context;
+    const { clock, retryBudget: budget, events, metrics, hostCount } =
+      this.#context;
     const { facts: { id: request }, service, route } = this.#request;
     const hosts = hostCount();
     while (this.#charged < this.#arrivals + count - 1) {
--- a/src/gateway/requests/engine_placement.ts
+++ b/src/gateway/requests/engine_placement.ts
@@ -8,7 +8,11 @@
 import type { GatewayContext } from "../context.ts";
 import { Timing } from "../observe/metrics.ts";
 import type { SendPermit } from "../limits/replica_limits.ts";
-import type { NoPlace, Place, Places } from "../planning/places.ts";
+import type {
+  Assignment,
+  AssignmentRefusal,
+  PlannerClient,
+} from "../planning/planner_client.ts";
 import { CallMode } from "../port.ts";
 import type { Replica } from "../replicas/replica.ts";
 import type { Engine } from "../routing/model.ts";
@@ -25,7 +29,7 @@
   Placer,
 } from "./placement.ts";
 import { type Export, PrefillRunner } from "./prefill.ts";
-import { nextAssignmentId } from "./place_ids.ts";
+import { nextAssignmentId } from "./assignment_ids.ts";
 import type { GatewayRequest } from "./request.ts";
 import {
   acquireReservation,
@@ -42,7 +46,7 @@
 export type EnginePlacementOptions = {
   readonly context: GatewayContext;
   readonly request: GatewayRequest;
-  readonly planner: Places;
+  readonly planner: PlannerClient;
   readonly engine: Engine;
   /** Sends of the request, prefills included. */
   readonly attempts: Attempts;
@@ -123,7 +127,7 @@
         if (this.#ended) return { error: GatewayError.noMemory };
         continue;
       }
-      const { excluded, nextMs } = available;
+      const { excluded, nextAvailableMs: nextMs } = available;
       const assignment = await this.#requestAssignment(
         { ...constraints, excluded },
         nextMs,
@@ -152,11 +156,11 @@
   async #requestAssignment(
     constraints: PlacementConstraints,
     nextMs: Milliseconds,
-  ): Promise<Place | NoPlace | "reopened"> {
+  ): Promise<Assignment | AssignmentRefusal | "reopened"> {
     const { context, planner } = this.#options;
     const id = nextAssignmentId(context);
     const attempt = { id, whole: this.#localPrefill };
-    const wait = planner.find(
+    const wait = planner.request(
       placementRequestOf(this.#options, constraints, attempt),
     );
     this.#cancelWait = wait.cancel;
@@ -240,7 +244,7 @@
   }
 
   #releasePermit(): void {
-    this.#permit?.giveBack();
+    this.#permit?.release();
     this.#permit = undefined;
   }
 
--- a/src/gateway/requests/engine_request.ts
+++ b/src/gateway/requests/engine_request.ts
@@ -1,7 +1,7 @@
 /** Builds the requests that are sent to a planner of model engines. */
 import type { Milliseconds } from "../../util/units.ts";
 import type { GatewayContext } from "../context.ts";
-import type { PlacementRequest } from "../planning/places.ts";
+import type { PlacementRequest } from "../planning/planner_client.ts";
 import type { Engine } from "../routing/model.ts";
 import { memoryTokens } from "./memory.ts";
 import type { PlacementConstraints } from "./placement.ts";
@@ -36,11 +36,11 @@
     promptTokens: facts.promptTokens,
     priority,
     dueAt: receivedAt + route.objectiveMs,
-    giveUpAt: placementDeadline({ context, request }, constraints),
+    abandonAt: placementDeadline({ context, request }, constraints),
     key: facts.promptKey ?? "",
-    longestRetryMs: facts.longestRetryMs ?? DEFAULT_MAX_RETRY_MS,
-    begun: constraints.mayHaveRun,
-    whole,
+    longestRetryMs: facts.maxRetryAfterMs ?? DEFAULT_MAX_RETRY_MS,
+    mayHaveRun: constraints.mayHaveRun,
+    localPrefill: whole,
     excluded: constraints.excluded,
   };
 }
@@ -50,7 +50,7 @@
   { context, request }: Omit<EngineRequestOptions, "engine">,
   { mayHaveRun }: PlacementConstraints,
 ): Milliseconds {
-  const { receivedAt, route, limitAt } = request;
+  const { receivedAt, route, deadline: limitAt } = request;
   // The caller's timeout for a started response restarts with each event.
   const waitsSince = mayHaveRun ? context.clock.now() : receivedAt;
   return Math.min(limitAt, waitsSince + route.silenceMs) - FIRST_EVENT_MS;
--- a/src/gateway/requests/exchange.ts
+++ b/src/gateway/requests/exchange.ts
@@ -6,14 +6,14 @@
 import type { Milliseconds } from "../../util/units.ts";
 import { GatewayError } from "../answers.ts";
 import type { GatewayContext } from "../context.ts";
-import { isStillHeld } from "../customers/admission.ts";
+import { isKeyStillValid } from "../customers/admission.ts";
 import { Timing } from "../observe/metrics.ts";
-import type { Places } from "../planning/places.ts";
+import type { PlannerClient } from "../planning/planner_client.ts";
 import { RouteKind } from "../routing/model.ts";
 import { Attempts } from "./attempts.ts";
 import { refusalWhenAllBackOff } from "./availability.ts";
 import { createPlacer } from "./create_placer.ts";
-import { type Failure, failureOf, ReplyWriter } from "./ending.ts";
+import { type Failure, failureOf, ReplyWriter } from "./reply_writer.ts";
 import type { Placement, Placer } from "./placement.ts";
 import { type EventPosition, relayAnswer, type RelayOutcome } from "./relay.ts";
 import type { GatewayRequest, Reply } from "./request.ts";
@@ -31,7 +31,7 @@
 /** Options of {@link Exchange}. */
 export type ExchangeOptions = {
   readonly context: GatewayContext;
-  readonly places: Places;
+  readonly planner: PlannerClient;
   readonly request: GatewayRequest;
   readonly reply: Reply;
   /** Called at the end with whether the request may have run at a replica. */
@@ -56,7 +56,7 @@
   #ended = false;
 
   constructor(options: ExchangeOptions) {
-    const { context, request, places: planner } = options;
+    const { context, request, planner: planner } = options;
     this.#context = context;
     this.#request = request;
     this.#reply = options.reply;
@@ -67,19 +67,19 @@
     this.#journal = journal;
     this.#writer = new ReplyWriter({ reply: options.reply, attempts, journal });
     this.#placer = createPlacer({ context, request, planner, attempts });
-    const leftMs = request.limitAt - context.clock.now();
+    const leftMs = request.deadline - context.clock.now();
     this.#cancelTimeout = context.clock.after(leftMs, () => this.#onTimeout());
   }
 
   /** Serves the request; resolves when it has ended. */
   async run(): Promise<void> {
-    const { budget, clock } = this.#context;
+    const { retryBudget: budget, clock } = this.#context;
     budget.noteRequest(this.#request.service, clock.now());
     while (!this.#ended) await this.#attempt();
   }
 
   /** Ends the request and aborts its calls when the caller disconnects. */
-  callerGone(): void {
+  callerDisconnected(): void {
     if (this.#ended) return;
     this.#context.metrics.count("callers_gone");
     this.#journal.note("callerGone");
@@ -88,7 +88,7 @@
 
   async #attempt(): Promise<void> {
     const { crashes } = this.#context;
-    await crashes.settled(this.#request.fingerprint, this.#attempts.sends);
+    await crashes.awaitProbes(this.#request.fingerprint, this.#attempts.sends);
     if (this.#ended || this.#rejectQuarantined()) return;
     const placed = await this.#placer.place({
       excluded: this.#attempts.excluded,
@@ -147,14 +147,14 @@
   #sendObstacle(): GatewayError | undefined {
     if (!this.#attempts.hasTimeLeft) return GatewayError.outOfTimeNotRun;
     const { routes } = this.#context;
-    if (!isStillHeld(routes, this.#request)) return GatewayError.unknownKey;
+    if (!isKeyStillValid(routes, this.#request)) return GatewayError.unknownKey;
     const isCharged = this.#attempts.chargeSend("A prefill was turned away");
     return isCharged ? undefined : GatewayError.refusedByReplicas;
   }
 
   async #send(placed: Placement): Promise<SendResult> {
     const { clock, tuning } = this.#context;
-    const { route, limitAt } = this.#request;
+    const { route, deadline: limitAt } = this.#request;
     this.#attempts.noteSent();
     this.#journal.placed(placed, this.#attempts.sends);
     const mayWaitLonger = !this.#attempts.repeatable || this.#attempts.isLast ||
@@ -167,7 +167,7 @@
     this.#sending = sendRequest(this.#context, this.#request, placed.replica, {
       headers: {
         ...placed.headers,
-        patienceMs: limitAt - clock.now(),
+        timeLeftMs: limitAt - clock.now(),
         ...(lastEventId === undefined ? {} : { lastEventId }),
       },
       permit: placed.permit,
@@ -258,7 +258,7 @@
       events: {
         position: this.#position,
         clock,
-        stallMs: tuning.stallMs,
+        stallMs: tuning.stallTimeoutMs,
         abandonStalled: () => this.#abandonStalled(placed),
       },
     });
@@ -266,7 +266,7 @@
 
   /** Abandons a stalled stream only if its replica also fails other calls. */
   #abandonStalled(placed: Placement): boolean {
-    if (!placed.replica.paused(this.#context.clock.now())) return false;
+    if (!placed.replica.isPaused(this.#context.clock.now())) return false;
     this.#retryAcquired = this.#attempts.acquireRetry("The stream stalled");
     return this.#retryAcquired;
   }
@@ -291,7 +291,7 @@
 
   #complete(status: number): void {
     const { crashes } = this.#context;
-    if (status < 500) crashes.answered(this.#request.fingerprint);
+    if (status < 500) crashes.noteAnswered(this.#request.fingerprint);
     this.#journal.answered(status);
     this.#end();
   }
--- a/src/gateway/requests/memory.ts
+++ b/src/gateway/requests/memory.ts
@@ -1,5 +1,5 @@
 /** Computes how much memory to reserve for a request at a decode replica. */
-import type { RequestFacts } from "../port.ts";
+import type { RequestMetadata } from "../port.ts";
 import type { Engine } from "../routing/model.ts";
 
 /** Share of the output limit to reserve if the caller sends no output hint. */
@@ -7,11 +7,11 @@
 
 /** Tokens to reserve for the prompt and the expected output. */
 export function memoryTokens(
-  facts: RequestFacts,
+  facts: RequestMetadata,
   engine: Engine,
   outputMargin: number,
 ): number {
-  const { promptTokens, outputLimit, outputHint } = facts;
+  const { promptTokens, outputLimit, estimatedOutput: outputHint } = facts;
   const expected = outputHint ?? outputLimit * DEFAULT_OUTPUT_SHARE;
   const reserved = Math.min(outputLimit, expected * outputMargin);
   const tokens = Math.ceil(promptTokens + reserved);
--- a/src/gateway/requests/placement.ts
+++ b/src/gateway/requests/placement.ts
@@ -3,7 +3,7 @@
 import type { GatewayError } from "../answers.ts";
 import type { SendPermit } from "../limits/replica_limits.ts";
 import type { EventFields } from "../observe/event_log.ts";
-import type { CallHead } from "../port.ts";
+import type { CallMetadata } from "../port.ts";
 import type { Replica } from "../replicas/replica.ts";
 import type { Export } from "./prefill.ts";
 
@@ -19,7 +19,7 @@
   readonly waitMs?: Milliseconds;
   /** Time that the prefill took. */
   readonly prefillMs?: Milliseconds;
-  readonly headers: CallHead;
+  readonly headers: CallMetadata;
 };
 
 /** Why a request could not be placed, and when to retry if that is known. */
--- a/src/gateway/requests/plain_placement.ts
+++ b/src/gateway/requests/plain_placement.ts
@@ -7,7 +7,11 @@
 import { GatewayError } from "../answers.ts";
 import type { GatewayContext } from "../context.ts";
 import type { SendPermit } from "../limits/replica_limits.ts";
-import type { NoPlace, Place, Places } from "../planning/places.ts";
+import type {
+  Assignment,
+  AssignmentRefusal,
+  PlannerClient,
+} from "../planning/planner_client.ts";
 import { CallMode } from "../port.ts";
 import { chooseReplica } from "../replicas/choice.ts";
 import type { Replica } from "../replicas/replica.ts";
@@ -18,7 +22,7 @@
   plannerRefusal,
   spreadRetryAfterMs,
 } from "./refusals.ts";
-import { nextAssignmentId } from "./place_ids.ts";
+import { nextAssignmentId } from "./assignment_ids.ts";
 import type {
   Placement,
   PlacementConstraints,
@@ -36,7 +40,7 @@
 export class PlainPlacement implements Placer {
   readonly #context: GatewayContext;
   readonly #request: GatewayRequest;
-  readonly #planner: Places;
+  readonly #planner: PlannerClient;
   #cancelWait: () => void = () => undefined;
   /** Identifies the current assignment to its planner. */
   #assignmentId: string | undefined;
@@ -46,7 +50,7 @@
   constructor(
     context: GatewayContext,
     request: GatewayRequest,
-    planner: Places,
+    planner: PlannerClient,
   ) {
     this.#context = context;
     this.#request = request;
@@ -127,23 +131,23 @@
   async #requestAssignment(
     { excluded, mayHaveRun }: PlacementConstraints,
     requestedAt: Milliseconds,
-  ): Promise<Place | NoPlace> {
+  ): Promise<Assignment | AssignmentRefusal> {
     const { clock } = this.#context;
-    const { service, receivedAt, route, limitAt, priority, facts } =
+    const { service, receivedAt, route, deadline: limitAt, priority, facts } =
       this.#request;
     const id = nextAssignmentId(this.#context);
-    const wait = this.#planner.find({
+    const wait = this.#planner.request({
       id,
       service,
       tokens: 1,
       promptTokens: 0,
       priority,
       dueAt: receivedAt + route.objectiveMs,
-      giveUpAt: Math.min(limitAt, requestedAt + PLANNER_TIMEOUT_MS),
+      abandonAt: Math.min(limitAt, requestedAt + PLANNER_TIMEOUT_MS),
       key: "",
-      longestRetryMs: facts.longestRetryMs ?? DEFAULT_MAX_RETRY_MS,
-      begun: mayHaveRun,
-      whole: true,
+      longestRetryMs: facts.maxRetryAfterMs ?? DEFAULT_MAX_RETRY_MS,
+      mayHaveRun: mayHaveRun,
+      localPrefill: true,
       excluded,
     });
     this.#cancelWait = wait.cancel;
@@ -156,23 +160,23 @@
 
   #chooseLocally(excluded: ReadonlySet<string>): Replica | undefined {
     const { replicas, clock, random, self, tuning } = this.#context;
-    const open = replicas.openOf(this.#request.service);
+    const open = replicas.openReplicasOf(this.#request.service);
     const query = {
       hall: self.hall,
-      farCharge: tuning.farCharge,
+      remoteHallPenalty: tuning.remoteHallPenalty,
       now: clock.now(),
-      chance: random(),
+      randomValue: random(),
       excluded,
     };
     return chooseReplica(
       open,
       query,
-      (candidate) => candidate.calls / Math.max(1, candidate.entry.slots),
+      (candidate) => candidate.activeCalls / Math.max(1, candidate.entry.slots),
     );
   }
 
   release(): void {
-    this.#permit?.giveBack();
+    this.#permit?.release();
     this.#permit = undefined;
     const id = this.#takeAssignmentId();
     if (id !== undefined) this.#planner.ended(id);
--- a/src/gateway/requests/prefill.ts
+++ b/src/gateway/requests/prefill.ts
@@ -6,7 +6,7 @@
 import { chooseReplica } from "../replicas/choice.ts";
 import { ReplicaStage } from "../replicas/model.ts";
 import type { Replica } from "../replicas/replica.ts";
-import { readWhole } from "../upstreams/call.ts";
+import { readBody } from "../upstreams/call.ts";
 import { callEngine } from "../upstreams/engine_call.ts";
 import { Timing } from "../observe/metrics.ts";
 import { noteLimit } from "./refusals.ts";
@@ -87,7 +87,7 @@
         continue;
       }
       if (this.#ended) {
-        outcome.permit.giveBack();
+        outcome.permit.release();
         return undefined;
       }
       const exported = await this.#runAt(replica, outcome.permit);
@@ -99,17 +99,19 @@
 
   #chooseReplica(hall: string): Replica | undefined {
     const { replicas, gate, clock, random, tuning } = this.#context;
-    const open = replicas.openOf(this.#request.service).filter((replica) =>
+    const open = replicas.openReplicasOf(this.#request.service).filter((
+      replica,
+    ) =>
       replica.entry.stage === ReplicaStage.prefill && !gate.obstacle(replica)
     );
     const query = {
       hall,
-      farCharge: tuning.farCharge,
+      remoteHallPenalty: tuning.remoteHallPenalty,
       now: clock.now(),
-      chance: random(),
+      randomValue: random(),
       excluded: this.#excluded,
     };
-    return chooseReplica(open, query, (replica) => replica.calls);
+    return chooseReplica(open, query, (replica) => replica.activeCalls);
   }
 
   #noteSkipped(replica: Replica, forMs: Milliseconds): void {
@@ -132,7 +134,7 @@
         mode: CallMode.prefill,
         replica: replica.entry.id,
         priority: this.#request.priority,
-        patienceMs: this.#request.limitAt - startedAt,
+        timeLeftMs: this.#request.deadline - startedAt,
       },
       permit,
       timeoutMs: tuning.prefillTimeoutMs,
@@ -147,7 +149,7 @@
       ? result.answer.message.statusCode
       : 0;
     const body = result.type === "answer" && status === 200
-      ? await readWhole(result.answer, MAX_BODY_BYTES)
+      ? await readBody(result.answer, MAX_BODY_BYTES)
       : undefined;
     if (status === 200 && body === undefined) {
       noteInterruption(this.#context, this.#request, replica, !this.#ended);
--- a/src/gateway/requests/refusals.ts
+++ b/src/gateway/requests/refusals.ts
@@ -2,13 +2,13 @@
 import type { Milliseconds } from "../../util/units.ts";
 import { GatewayError } from "../answers.ts";
 import type { GatewayContext } from "../context.ts";
-import type { NoPlace } from "../planning/places.ts";
+import type { AssignmentRefusal } from "../planning/planner_client.ts";
 import type { PlacementRefusal } from "./placement.ts";
 import type { Replica } from "../replicas/replica.ts";
 import type { GatewayRequest } from "./request.ts";
 
 /** Converts a planner's refusal. */
-export function plannerRefusal(refusal: NoPlace): PlacementRefusal {
+export function plannerRefusal(refusal: AssignmentRefusal): PlacementRefusal {
   const { reason, retryAfterMs, planner, basis } = refusal;
   const fields = { planner, ...basis };
   switch (reason) {
--- a/src/gateway/requests/relay.ts
+++ b/src/gateway/requests/relay.ts
@@ -3,7 +3,7 @@
 import type { Milliseconds } from "../../util/units.ts";
 import type { Answer } from "../upstreams/call.ts";
 import { type Route, RouteKind } from "../routing/model.ts";
-import { EventSplitter } from "./event_edges.ts";
+import { EventSplitter } from "./event_splitter.ts";
 import type { Reply } from "./request.ts";
 
 /** Responses up to this size are buffered until they are complete. */
--- a/src/gateway/requests/ending.ts
+++ b/src/gateway/requests/reply_writer.ts
@@ -1,5 +1,5 @@
 /** Writes response headers and errors to the caller. */
-import { type GatewayError, truthfulError } from "../answers.ts";
+import { errorForCaller, type GatewayError } from "../answers.ts";
 import type { EventFields } from "../observe/event_log.ts";
 import type { Attempts } from "./attempts.ts";
 import type { PlacementRefusal } from "./placement.ts";
@@ -38,7 +38,7 @@
   writeHead(status: number, rawHeaders: readonly string[]): void {
     if (this.#headersSent) return;
     this.#headersSent = true;
-    this.#options.reply.head(status, rawHeaders);
+    this.#options.reply.writeHead(status, rawHeaders);
   }
 
   /**
@@ -50,12 +50,12 @@
     { reason, retryAfterSeconds, basis }: Failure,
   ): void {
     const { reply, attempts, journal } = this.#options;
-    const sent = truthfulError(error, attempts.mayHaveRun);
+    const sent = errorForCaller(error, attempts.mayHaveRun);
     const retryAfterSent = sent === error ? retryAfterSeconds : undefined;
     const fields = { error: sent, reason, retry_after: retryAfterSent };
     if (this.#headersSent) {
       journal.ended("broken", fields);
-      reply.breakOff();
+      reply.abort();
     } else {
       const name = attempts.mayHaveRun ? "failed" : "refused";
       journal.ended(name, { ...fields, ...basis });
--- a/src/gateway/requests/request.ts
+++ b/src/gateway/requests/request.ts
@@ -1,7 +1,7 @@
 /** A caller's request, and the reply to the caller. */
 import type { Milliseconds } from "../../util/units.ts";
 import type { GatewayError } from "../answers.ts";
-import type { RequestFacts } from "../port.ts";
+import type { RequestMetadata } from "../port.ts";
 import type { Customer } from "../customers/model.ts";
 import type { Route } from "../routing/model.ts";
 
@@ -11,7 +11,7 @@
   readonly target: string;
   /** Alternating names and values, without hop-by-hop headers. */
   readonly rawHeaders: readonly string[];
-  readonly facts: RequestFacts;
+  readonly facts: RequestMetadata;
   readonly body: Buffer;
   /** Equal for every attempt of the same request, at any host. */
   readonly fingerprint: () => string;
@@ -23,13 +23,13 @@
   readonly priority: number;
   readonly receivedAt: Milliseconds;
   /** The gateway ends the request at this time if no response is complete. */
-  readonly limitAt: Milliseconds;
+  readonly deadline: Milliseconds;
 };
 
 /** Writes the response to the caller. */
 export type Reply = {
   /** Forwards the status and the headers of a replica's response. */
-  head(status: number, rawHeaders: readonly string[]): void;
+  writeHead(status: number, rawHeaders: readonly string[]): void;
   /** Returns false if the caller should wait for `drained` before writing more. */
   write(bytes: Buffer): boolean;
   drained(): Promise<void>;
@@ -37,5 +37,5 @@
   /** Sends an error response of the gateway. */
   fail(error: GatewayError, retryAfterSeconds?: number): void;
   /** Aborts a started response so that the caller can tell it is incomplete. */
-  breakOff(): void;
+  abort(): void;
 };
--- a/src/gateway/requests/request_journal.ts
+++ b/src/gateway/requests/request_journal.ts
@@ -49,7 +49,7 @@
       wait_ms: placed.waitMs,
       prefill_ms: placed.prefillMs,
       output_limit: facts.outputLimit,
-      output_hint: facts.outputHint,
+      output_hint: facts.estimatedOutput,
       send: sends,
       backing_off: gate.backingOff || undefined,
       listing: revisionOf(replicas.revision),
--- a/src/gateway/requests/sender.ts
+++ b/src/gateway/requests/sender.ts
@@ -1,7 +1,7 @@
 /** Sends a request to a replica and reports whether it may have run. */
 import type { Milliseconds } from "../../util/units.ts";
 import type { GatewayContext } from "../context.ts";
-import type { CallHead } from "../port.ts";
+import type { CallMetadata } from "../port.ts";
 import type { SendPermit } from "../limits/replica_limits.ts";
 import type { ReplicaEntry } from "../replicas/model.ts";
 import type { Replica } from "../replicas/replica.ts";
@@ -44,7 +44,7 @@
 
 /** Options of {@link sendRequest}. */
 export type SendOptions = {
-  readonly headers: CallHead;
+  readonly headers: CallMetadata;
   /** Used when the request is sent, released otherwise. */
   readonly permit: SendPermit;
   /** Aborts the call if no response headers arrive within this time. */
@@ -62,7 +62,7 @@
   // have started to drain or to back off in the meantime.
   const obstacle = context.gate.obstacle(replica);
   if (obstacle) {
-    permit.giveBack();
+    permit.release();
     const result = Promise.resolve({ type: "closed", obstacle } as const);
     return { result, abort: () => undefined };
   }
@@ -78,23 +78,23 @@
       ...(request.customer ? { customer: request.customer.name } : {}),
     }),
     body: request.body,
-    mostConnections: connectionShare(
+    maxConnections: connectionShare(
       context.routes.service(request.service)?.connectionLimit ?? 0,
       context.hostCount(),
     ),
     // Checked again once a connection is available.
-    mayGo: () => context.gate.obstacle(replica) === undefined,
+    maySend: () => context.gate.obstacle(replica) === undefined,
   });
-  replica.calls += 1;
+  replica.activeCalls += 1;
   const sentAt = context.clock.now();
-  replica.noteTry(sentAt);
+  replica.noteTrial(sentAt);
   const cancel = timeoutMs === undefined
     ? () => undefined
     : context.clock.after(timeoutMs, () => call.abort("No answer in time"));
   const sent = { call, sentAt };
   const result = resultOf(context, request, replica, sent).finally(() => {
     cancel();
-    replica.calls -= 1;
+    replica.activeCalls -= 1;
   });
   return { result, abort: (reason) => call.abort(reason) };
 }
@@ -109,7 +109,7 @@
   },
 ): boolean {
   const { stage, incarnation } = entry;
-  return replicas.openOf(service).some((replica) => {
+  return replicas.openReplicasOf(service).some((replica) => {
     const { entry: other } = replica;
     return other.stage === stage && other.incarnation !== incarnation &&
       !excluded.has(other.incarnation) && !gate.obstacle(replica);
@@ -151,9 +151,9 @@
   if (!facts.misdirected) {
     const { incarnation } = replica.entry;
     const answered = { sentAt, request: request.facts.id };
-    if (isMatching) context.gate.hear(incarnation, facts, answered);
+    if (isMatching) context.gate.observe(incarnation, facts, answered);
     // The notices are valid for the replica, but may be old.
-    else context.gate.hearCall(incarnation, facts, answered);
+    else context.gate.observeCall(incarnation, facts, answered);
   }
   if (!isMatching) {
     call.abort("An answer to another request");
@@ -194,7 +194,7 @@
     return { type: "closed", obstacle };
   }
   noteFailure(context, replica, { reason, severe: true });
-  if (isRefused) context.crashes.refused(replica.entry);
+  if (isRefused) context.crashes.noteRefused(replica.entry);
   return {
     type: "notRun",
     reason,
@@ -211,7 +211,7 @@
   { entry }: Replica,
   isByReplica: boolean,
 ): void {
-  crashes.sendBroke(entry, { fingerprint, isByReplica });
+  crashes.noteBrokenSend(entry, { fingerprint, endedByReplica: isByReplica });
 }
 
 /** Whether a response belongs to the request; error responses may lack the id. */
@@ -231,9 +231,9 @@
 ): void {
   if (failure.reason === "The request ended") return;
   const now = context.clock.now();
-  const wasPaused = replica.paused(now);
+  const wasPaused = replica.isPaused(now);
   replica.noteFailure(now, failure.severe);
-  if (wasPaused || !replica.paused(now)) return;
+  if (wasPaused || !replica.isPaused(now)) return;
   context.events.note("replicaPaused", {
     replica: replica.entry.incarnation,
     address: replica.entry.address,
--- a/src/gateway/retries/retry_budget.ts
+++ b/src/gateway/retries/retry_budget.ts
@@ -34,7 +34,7 @@
   }
 
   /** Replaces the rule; the counts are retained. */
-  change(rule: BudgetRule): void {
+  setRule(rule: BudgetRule): void {
     this.#rule = rule;
   }
 
--- a/src/gateway/routing/model.ts
+++ b/src/gateway/routing/model.ts
@@ -84,7 +84,7 @@
 };
 
 /** Whether a request of the route may run more than once. */
-export function repeatable(route: Route): boolean {
+export function isRepeatable(route: Route): boolean {
   if (route.kind === RouteKind.safe) return true;
   return route.kind === RouteKind.streaming && route.resumable;
 }
--- a/src/gateway/stages/lease.ts
+++ b/src/gateway/stages/lease.ts
@@ -44,7 +44,7 @@
   readonly holder: string;
   /** Minimum time between the orders of two holders. */
   readonly guardMs: Milliseconds;
-  readonly eras: Pick<StoreEras, "era" | "ageMs" | "hear">;
+  readonly eras: Pick<StoreEras, "era" | "ageMs" | "observe">;
 };
 
 /** Acquires the lease of a service; undefined if another host may hold it. */
@@ -56,7 +56,7 @@
   const { store, clock, holder, guardMs, eras } = options;
   const reading = await store.readRows(TABLE, signal);
   const era = Math.max(eras.era, reading.era ?? 0);
-  eras.hear(positionOf(era, 0), clock.now());
+  eras.observe(positionOf(era, 0), clock.now());
   const row = reading.rows.find((candidate) => candidate.key === service);
   const eraAgeMs = eras.ageMs(clock.now());
   const requester = { holder, guardMs, nowMs: reading.nowMs, era, eraAgeMs };
--- a/src/gateway/stages/stage_loop.ts
+++ b/src/gateway/stages/stage_loop.ts
@@ -10,7 +10,7 @@
 import { OrderOutcome, type Store } from "../port.ts";
 import type { ReplicaEntry, ReplicaStage } from "../replicas/model.ts";
 import type { Service } from "../routing/model.ts";
-import { within } from "../state/within.ts";
+import { withTimeout } from "../state/with_timeout.ts";
 import { callEngine } from "../upstreams/engine_call.ts";
 import type { StageLoad } from "../planning/view.ts";
 import {
@@ -70,7 +70,7 @@
       isPlanner ? CHECK_INTERVAL_MS : IDLE_CHECK_INTERVAL_MS,
     );
     isPlanner = false;
-    if (context.stop.askedAt !== undefined) continue;
+    if (context.stop.requestedAt !== undefined) continue;
     if (options.storeAgeMs(context.clock.now()) > MAX_LISTING_AGE_MS) continue;
     for (const service of context.routes.config?.services ?? []) {
       if (!service.engine) continue;
@@ -118,7 +118,7 @@
   { context, changing }: StageLoopOptions,
   service: Service,
 ): ReplicaEntry[] {
-  return context.replicas.openOf(service.name).map(({ entry }) => {
+  return context.replicas.openReplicasOf(service.name).map(({ entry }) => {
     const stage = changing.get(entry.incarnation);
     return stage === undefined ? entry : { ...entry, stage };
   });
@@ -146,7 +146,7 @@
   const { context, store, holder, guardMs } = options;
   const { clock, events, suspensions, eras } = context;
   const suspensionCount = suspensions.check();
-  const lease = await within({
+  const lease = await withTimeout({
     clock,
     timeoutMs: STORE_TIMEOUT_MS,
     work: (signal) =>
@@ -201,7 +201,7 @@
     timeoutMs: CALL_TIMEOUT_MS,
   });
   const report = answer && dialect.readReport(answer.body);
-  if (!report || report.changing) return FAILED_ATTEMPT;
+  if (!report || report.isChanging) return FAILED_ATTEMPT;
   if (report.stage === change.stage) return FAILED_ATTEMPT;
   if (clock.now() >= lease.until) return FAILED_ATTEMPT;
   // The store was restored from a copy that may lack the lease.
@@ -210,7 +210,7 @@
   if (context.suspensions.check() !== suspensionCount) return FAILED_ATTEMPT;
   const outcome = await sendOrder(options, change, {
     lease,
-    ifOrders: report.orders,
+    ifOrders: report.orderCount,
   });
   context.events.note("stageOrdered", {
     service: service.name,
--- a/src/gateway/state/config_reader.ts
+++ b/src/gateway/state/config_reader.ts
@@ -1,7 +1,7 @@
 /** Reads the store's configuration and records how fresh the local one is. */
 import type { Milliseconds } from "../../util/units.ts";
 import type { GatewayContext } from "../context.ts";
-import { eraOf, type Position, type StorePlace } from "../position.ts";
+import { eraOf, type Position, type StorePosition } from "../position.ts";
 import type { ConfigReading, Store } from "../port.ts";
 import type { StoreCalls } from "./store_calls.ts";
 import type { CallStart } from "./store_eras.ts";
@@ -47,15 +47,15 @@
    * undefined if the call failed. A reading without a position requires a full
    * read next.
    */
-  async read(from?: StorePlace): Promise<ConfigReading | undefined> {
+  async read(from?: StorePosition): Promise<ConfigReading | undefined> {
     const { context: { clock, eras }, synchronizer } = this.#options;
     const requestedAt = clock.now();
     const start = eras.beginCall();
     const reading = await this.#request(from);
-    if (reading?.config) synchronizer.takeConfig(reading.config, "store");
-    if (!reading?.place) return reading;
-    const position = eras.resolvePosition(reading.place, start);
-    eras.hear(position, clock.now());
+    if (reading?.config) synchronizer.applyConfig(reading.config, "store");
+    if (!reading?.position) return reading;
+    const position = eras.resolvePosition(reading.position, start);
+    eras.observe(position, clock.now());
     if (this.#isOfAnotherEra(position, { start, from })) return {};
     if (reading.config) this.#storeVersion = reading.config.version;
     else if (from === undefined) this.#storeVersion = 0;
@@ -64,7 +64,7 @@
   }
 
   async #request(
-    from: StorePlace | undefined,
+    from: StorePosition | undefined,
   ): Promise<ConfigReading | undefined> {
     const { store, calls, timeoutMs, watchMs } = this.#options;
     if (!from) {
@@ -85,7 +85,7 @@
     position: Position,
     { start, from }: {
       readonly start: CallStart;
-      readonly from: StorePlace | undefined;
+      readonly from: StorePosition | undefined;
     },
   ): boolean {
     const era = eraOf(position);
--- a/src/gateway/state/fleet_state.ts
+++ b/src/gateway/state/fleet_state.ts
@@ -7,12 +7,12 @@
 import type { HostDirectory } from "../peers/directory.ts";
 import type { Link, LinkEvents, LinkTarget } from "../peers/link.ts";
 import { startPeerLoops } from "../peers/peer_loop.ts";
-import { PeerQuestions, PeerSubject } from "../peers/peer_questions.ts";
+import { PeerClient, PeerSubject } from "../peers/peer_client.ts";
 import type { HostEntry, Store } from "../port.ts";
 import type { RouteConfig } from "../routing/model.ts";
 import type { JsonClient } from "../upstreams/json_client.ts";
 import { ConfigCatchup } from "./config_catchup.ts";
-import { FleetUpdates } from "./fleet_news.ts";
+import { FleetUpdates } from "./fleet_updates.ts";
 import { HallFollower, type ReaderReport } from "./hall_follower.ts";
 import { StateServer } from "./state_server.ts";
 import { StoreLoops, type StoreTimes } from "./store_loops.ts";
@@ -41,7 +41,7 @@
   readonly #synchronizer: Synchronizer;
   readonly #follower: HallFollower;
   readonly #storeLoops: StoreLoops;
-  readonly #questions: PeerQuestions;
+  readonly #questions: PeerClient;
   readonly #catchup: ConfigCatchup;
 
   constructor(options: FleetStateOptions) {
@@ -53,7 +53,8 @@
       onVersionAnnounced: (announcement) =>
         this.#catchup.noteVersion(announcement),
       onChange: () => this.server.broadcast(),
-      onLeaving: (incarnations) => context.leaving.listed(incarnations),
+      onLeaving: (incarnations) =>
+        context.draining.announceListed(incarnations),
       isRelay: () => this.#follower.isRelay,
     });
     this.#synchronizer = synchronizer;
@@ -61,7 +62,7 @@
       clock: context.clock,
       crashes: context.crashes,
       limits: context.limits,
-      leaving: context.leaving,
+      leaving: context.draining,
       links: () => [...this.server.links, ...this.#follower.links],
     });
     this.server = new StateServer({
@@ -87,19 +88,19 @@
       synchronizer,
       follower: this.#follower,
     });
-    this.#questions = new PeerQuestions({
+    this.#questions = new PeerClient({
       context,
       directory,
       synchronizer,
       createClient: options.createClient,
     });
-    context.suspensions.listen((forMs) => this.#handleSuspension(forMs));
+    context.suspensions.addListener((forMs) => this.#handleSuspension(forMs));
     this.#catchup = new ConfigCatchup({
       context,
       directory,
       readStore: () => this.#storeLoops.readConfig(),
       requestFromPeer: (address) =>
-        this.#questions.ask(address, PeerSubject.config),
+        this.#questions.request(address, PeerSubject.config),
     });
   }
 
@@ -118,9 +119,9 @@
       store,
       directory,
       synchronizer: this.#synchronizer,
-      questions: this.#questions,
+      peerClient: this.#questions,
       followers: () => this.server.hosts,
-      isNamedByReader: () => follower.reader !== self.id && !follower.isRelay,
+      isListedByReader: () => follower.reader !== self.id && !follower.isRelay,
     });
     this.#storeLoops.start();
     follower.start();
@@ -150,8 +151,8 @@
     const { context: { clock }, directory } = this.#options;
     const { hosts, hostsGone } = report.message;
     directory.refresh(clock.now());
-    if (hosts) directory.learn(hosts, clock.now());
-    if (hostsGone) directory.forget(hostsGone);
+    if (hosts) directory.add(hosts, clock.now());
+    if (hostsGone) directory.remove(hostsGone);
     return this.#synchronizer.applyReport(report);
   }
 }
--- a/src/gateway/state/fleet_news.ts
+++ b/src/gateway/state/fleet_updates.ts
@@ -11,7 +11,7 @@
   encodeCrashes,
 } from "../crashes/crash_messages.ts";
 import type { CrashWatch } from "../crashes/crash_watch.ts";
-import type { CrashNews } from "../crashes/model.ts";
+import type { CrashUpdate } from "../crashes/model.ts";
 import {
   decodeLimits,
   encodeLimits,
@@ -21,8 +21,8 @@
 import type { LimitRecord } from "../limits/model.ts";
 import type { ReplicaLimits } from "../limits/replica_limits.ts";
 import type { Link } from "../peers/link.ts";
-import { NewsSharing } from "../peers/news_sharing.ts";
-import type { LeavingReplicas } from "../replicas/leaving_replicas.ts";
+import { UpdateBroadcaster } from "../peers/update_broadcaster.ts";
+import type { DrainingReplicas } from "../replicas/draining_replicas.ts";
 
 /** Limits the messages per link when many replicas crash or drain at once. */
 const BATCH_INTERVAL_MS = 20;
@@ -48,11 +48,11 @@
 ] as const;
 
 /** Exchanges updates over links. */
-export type News = {
+export type UpdateExchange = {
   /** Sends all known state over a link that has just opened. */
-  greet(link: Link): void;
+  sendAll(link: Link): void;
   /** Handles an update that was received over a link. */
-  take(link: Link, message: UpdateMessage): void;
+  receive(link: Link, message: UpdateMessage): void;
 };
 
 /** Whether a message is an update. */
@@ -68,76 +68,76 @@
   readonly clock: Clock;
   readonly crashes: CrashWatch;
   readonly limits: ReplicaLimits;
-  readonly leaving: LeavingReplicas;
+  readonly leaving: DrainingReplicas;
   /** The open links. */
   readonly links: () => readonly Link[];
 };
 
 /** Sends the updates of one host, and applies and forwards received ones. */
-export class FleetUpdates implements News {
+export class FleetUpdates implements UpdateExchange {
   readonly #options: FleetUpdatesOptions;
-  readonly #crashes: NewsSharing<CrashNews>;
-  readonly #limits: NewsSharing<readonly LimitRecord[]>;
-  readonly #leaving: NewsSharing<readonly string[]>;
+  readonly #crashes: UpdateBroadcaster<CrashUpdate>;
+  readonly #limits: UpdateBroadcaster<readonly LimitRecord[]>;
+  readonly #leaving: UpdateBroadcaster<readonly string[]>;
 
   constructor(options: FleetUpdatesOptions) {
     const { clock, crashes, limits, leaving, links } = options;
     this.#options = options;
-    this.#crashes = new NewsSharing({
+    this.#crashes = new UpdateBroadcaster({
       clock,
-      gatherMs: BATCH_INTERVAL_MS,
+      batchMs: BATCH_INTERVAL_MS,
       links,
       all: () => crashes.all(),
       merge: (batch) => ({
         records: batch.flatMap((update) => update.records),
-        acquittals: batch.flatMap((update) => update.acquittals),
+        clearances: batch.flatMap((update) => update.clearances),
       }),
       encode: (update) =>
-        update.records.length + update.acquittals.length > 0
+        update.records.length + update.clearances.length > 0
           ? encodeCrashes(update, clock.now())
           : undefined,
     });
-    this.#limits = new NewsSharing({
+    this.#limits = new UpdateBroadcaster({
       clock,
-      gatherMs: LIMIT_BATCH_INTERVAL_MS,
+      batchMs: LIMIT_BATCH_INTERVAL_MS,
       links,
       all: () => limits.all(),
       merge: (batch) => latestByReplica(batch.flat()),
       encode: (records) =>
         records.length > 0 ? encodeLimits(records, clock.now()) : undefined,
     });
-    this.#leaving = new NewsSharing<readonly string[]>({
+    this.#leaving = new UpdateBroadcaster<readonly string[]>({
       clock,
-      gatherMs: BATCH_INTERVAL_MS,
+      batchMs: BATCH_INTERVAL_MS,
       links,
       all: () => leaving.all(),
       merge: (batch) => batch.flat(),
       encode: (incarnations) =>
         incarnations.length > 0 ? { type: "leaving", incarnations } : undefined,
     });
-    crashes.listen((update, from) => this.#crashes.share(update, from));
-    limits.listen((records, from) => this.#limits.share(records, from));
+    crashes.listen((update, from) => this.#crashes.broadcast(update, from));
+    limits.listen((records, from) => this.#limits.broadcast(records, from));
     leaving.listen((incarnations, from) =>
-      this.#leaving.share(incarnations, from)
+      this.#leaving.broadcast(incarnations, from)
     );
   }
 
-  greet(link: Link): void {
-    this.#crashes.greet(link);
-    this.#limits.greet(link);
-    this.#leaving.greet(link);
+  sendAll(link: Link): void {
+    this.#crashes.sendAll(link);
+    this.#limits.sendAll(link);
+    this.#leaving.sendAll(link);
   }
 
-  take(link: Link, message: UpdateMessage): void {
+  receive(link: Link, message: UpdateMessage): void {
     const { clock, crashes, limits, leaving } = this.#options;
     const now = clock.now();
     switch (message.type) {
       case "crashes":
-        return crashes.take(decodeCrashes(message, now), link);
+        return crashes.merge(decodeCrashes(message, now), link);
       case "limits":
-        return limits.take(decodeLimits(message, now), link);
+        return limits.receive(decodeLimits(message, now), link);
       case "leaving":
-        return leaving.take(message.incarnations, link);
+        return leaving.receive(message.incarnations, link);
     }
   }
 }
--- a/src/gateway/state/hall_follower.ts
+++ b/src/gateway/state/hall_follower.ts
@@ -17,7 +17,7 @@
 } from "../peers/link.ts";
 import { RemoteClock } from "../peers/remote_clock.ts";
 import type { HostEntry } from "../port.ts";
-import { isUpdate, type News } from "./fleet_news.ts";
+import { isUpdate, type UpdateExchange } from "./fleet_updates.ts";
 import { chooseReader } from "./reader_choice.ts";
 import { ReaderMessageSchema, type StateMessage } from "./state_messages.ts";
 
@@ -68,7 +68,7 @@
   >;
   readonly self: HostEntry;
   readonly directory: HostDirectory;
-  readonly updates: News;
+  readonly updates: UpdateExchange;
   /** Opens a link to a reader. */
   readonly openLink: (target: LinkTarget, events: LinkEvents) => Link;
   /** Applies a report; false: its listing doesn't continue the local one. */
@@ -120,7 +120,7 @@
   /** Discards the readers' clock offsets after a suspension, and requests new ones. */
   resetClocks(): void {
     const { clock } = this.#options.context;
-    for (const remote of this.#clocks) remote.forget();
+    for (const remote of this.#clocks) remote.reset();
     this.#syncedAt = -Infinity;
     this.#syncClock(clock.now());
     this.#candidate?.link.send({ type: "sync", sentAt: clock.now() });
@@ -200,8 +200,8 @@
     const identity = { reader: host.id, address: host.address };
     const link: Link = openLink(target, {
       ready: () => {
-        this.#follow(link, context.replicas.base);
-        this.#options.updates.greet(link);
+        this.#follow(link, context.replicas.deltaBase);
+        this.#options.updates.sendAll(link);
       },
       line: (text) => this.#receive(text, { link, clock, ...identity }),
       closed: () => {
@@ -266,7 +266,7 @@
     this.#options.context.suspensions.check();
     const { link, reader, address } = sender;
     if (!message) return;
-    if (isUpdate(message)) return this.#options.updates.take(link, message);
+    if (isUpdate(message)) return this.#options.updates.receive(link, message);
     if (message.type !== "state") return;
     const now = this.#options.context.clock.now();
     if (message.echo) sender.clock.note(message.echo, now);
--- a/src/gateway/state/state_messages.ts
+++ b/src/gateway/state/state_messages.ts
@@ -3,7 +3,7 @@
 import { encodeEntry, ReplicaEntrySchema } from "../replicas/schema.ts";
 import { HostEntrySchema } from "../peers/host_schema.ts";
 import { RouteConfigSchema } from "../routing/schema.ts";
-import { UPDATE_SCHEMAS } from "./fleet_news.ts";
+import { UPDATE_SCHEMAS } from "./fleet_updates.ts";
 
 const Follow = z.object({
   type: z.literal("follow"),
--- a/src/gateway/state/state_server.ts
+++ b/src/gateway/state/state_server.ts
@@ -9,7 +9,7 @@
 import { acceptLink, type Link, type LinkEvents } from "../peers/link.ts";
 import type { HostEntry } from "../port.ts";
 import type { RouteConfig } from "../routing/model.ts";
-import { isUpdate, type News } from "./fleet_news.ts";
+import { isUpdate, type UpdateExchange } from "./fleet_updates.ts";
 import {
   encodeState,
   FollowerMessageSchema,
@@ -34,7 +34,7 @@
   >;
   readonly self: HostEntry;
   readonly directory: HostDirectory;
-  readonly updates: News;
+  readonly updates: UpdateExchange;
   /** Age of the store state to report; Infinity: none is reported. */
   storeAgeMs(now: Milliseconds): Milliseconds;
   /**
@@ -131,15 +131,15 @@
     const message = readJson(FollowerMessageSchema, text);
     if (!message || message.type === "ping") return;
     const { context, updates, directory } = this.#options;
-    if (isUpdate(message)) return updates.take(follower.link, message);
+    if (isUpdate(message)) return updates.receive(follower.link, message);
     const now = context.clock.now();
     follower.echo = { sentAt: message.sentAt, heardAt: now };
     if (message.type === "sync") return;
-    if (!follower.host) updates.greet(follower.link);
+    if (!follower.host) updates.sendAll(follower.link);
     follower.revision = message.revision;
     follower.version = message.version;
     follower.host = message.host;
-    directory.learn([message.host], now);
+    directory.add([message.host], now);
     this.#send(follower);
   }
 
@@ -163,7 +163,7 @@
     // A listing of an unsettled era may come from an older backup and is withheld.
     // The age is still reported, so that followers don't all list the replicas.
     const listing = isFresh && isNewer && isSettled
-      ? replicas.after(revision)
+      ? replicas.deltaSince(revision)
       : undefined;
     return {
       type: "state",
--- a/src/gateway/state/store_calls.ts
+++ b/src/gateway/state/store_calls.ts
@@ -5,7 +5,7 @@
 import type { Milliseconds } from "../../util/units.ts";
 import type { GatewayContext } from "../context.ts";
 import { Timing } from "../observe/metrics.ts";
-import { within } from "./within.ts";
+import { withTimeout } from "./with_timeout.ts";
 
 /** Options of {@link StoreCalls}. */
 export type StoreCallsOptions = Pick<
@@ -29,7 +29,7 @@
     const { clock, metrics } = this.#options;
     const startedAt = clock.now();
     const value = await this.#unlessSuspended(() =>
-      within({
+      withTimeout({
         clock,
         timeoutMs,
         work,
--- a/src/gateway/state/store_eras.ts
+++ b/src/gateway/state/store_eras.ts
@@ -14,7 +14,7 @@
   type Position,
   positionOf,
   revisionOf,
-  type StorePlace,
+  type StorePosition,
 } from "../position.ts";
 
 /**
@@ -55,7 +55,7 @@
   }
 
   /** Converts a position of the current era to the store's own terms. */
-  toStorePosition(position: Position): StorePlace {
+  toStorePosition(position: Position): StorePosition {
     const era = this.#reportedEra;
     return {
       revision: revisionOf(position),
@@ -79,7 +79,7 @@
    * the store until its revision exceeds the old one.
    */
   resolvePosition(
-    { revision, era }: StorePlace,
+    { revision, era }: StorePosition,
     { newest }: CallStart,
   ): Position {
     const known = eraOf(newest);
@@ -94,7 +94,7 @@
    * Records a position that the store or another host reported. `isSettled`: the
    * reporting host considers the era settled.
    */
-  hear(
+  observe(
     position: Position,
     now: Milliseconds,
     { isSettled = false }: { readonly isSettled?: boolean } = {},
--- a/src/gateway/state/store_loops.ts
+++ b/src/gateway/state/store_loops.ts
@@ -10,7 +10,7 @@
   eraOf,
   type Position,
   revisionOf,
-  type StorePlace,
+  type StorePosition,
 } from "../position.ts";
 import type { Store } from "../port.ts";
 import { ConfigReader } from "./config_reader.ts";
@@ -60,7 +60,7 @@
 type ReadOutcome = "applied" | "older" | "failed";
 
 /** The store's steady clock and position in one response. */
-type TimedPosition = StorePlace & { readonly nowMs: Milliseconds };
+type TimedPosition = StorePosition & { readonly nowMs: Milliseconds };
 
 /** Options of {@link StoreLoops}. */
 export type StoreLoopsOptions = {
@@ -119,7 +119,7 @@
    * full listing determines it again.
    */
   resetClock(): void {
-    this.#storeClock.forget();
+    this.#storeClock.reset();
     this.#hasFullListing = false;
     this.#config.endWatch();
   }
@@ -133,7 +133,7 @@
     const { context: { clock }, synchronizer } = this.#options;
     while (!this.#isStopped) {
       const startedAt = clock.now();
-      if (synchronizer.isTold(startedAt)) {
+      if (synchronizer.hasFreshReport(startedAt)) {
         this.#hasFullListing = false;
         await this.#sleepWhileFresh();
         continue;
@@ -184,7 +184,7 @@
     // The watch may hang on a dead connection and is restarted.
     if (answered && this.#failures > 0) this.#config.endWatch();
     this.#failures = answered ? 0 : this.#failures + 1;
-    if (answered && !synchronizer.isTold(context.clock.now())) {
+    if (answered && !synchronizer.hasFreshReport(context.clock.now())) {
       follower.leaveIfStale("The store answers this host, not its reader");
     }
     return answered;
@@ -203,7 +203,7 @@
     const { entries } = listing;
     const revision = eras.resolvePosition(listing, start);
     // A listing older than the local state does not count as a read.
-    if (!synchronizer.takeListing({ revision, entries }, "store")) {
+    if (!synchronizer.applyListing({ revision, entries }, "store")) {
       this.#noteOlder(listing, revision);
       return "older";
     }
@@ -283,9 +283,9 @@
 
   async #followConfig(): Promise<void> {
     const { context: { clock, routes }, synchronizer } = this.#options;
-    let position: StorePlace | undefined;
+    let position: StorePosition | undefined;
     while (!this.#isStopped) {
-      if (synchronizer.isTold(clock.now())) {
+      if (synchronizer.hasFreshReport(clock.now())) {
         position = undefined;
         await this.#sleepWhileFresh();
         continue;
@@ -297,7 +297,7 @@
       }
       const reading = await this.#config.read(position);
       if (!reading) await sleep(clock, this.#failedPauseMs());
-      position = reading?.place;
+      position = reading?.position;
     }
   }
 }
--- a/src/gateway/state/synchronizer.ts
+++ b/src/gateway/state/synchronizer.ts
@@ -116,7 +116,7 @@
   }
 
   /** Whether the reader's report is fresh, so that this host need not read the store. */
-  isTold(now: Milliseconds): boolean {
+  hasFreshReport(now: Milliseconds): boolean {
     return this.freshForMs(now) > 0;
   }
 
@@ -130,7 +130,7 @@
   }
 
   /** Applies a configuration from the store or a peer; false: it is not newer. */
-  takeConfig(config: RouteConfig, source: string): boolean {
+  applyConfig(config: RouteConfig, source: string): boolean {
     const { routes, events } = this.#context;
     const before = routes.version;
     if (!routes.adopt(config)) return false;
@@ -149,7 +149,7 @@
    * Records an announced version. Announces a new one to followers at once, also
    * if this host can't fetch it.
    */
-  noteHeard(announcement: VersionAnnouncement, source: string): void {
+  noteVersion(announcement: VersionAnnouncement, source: string): void {
     const { routes, events } = this.#context;
     const { version } = announcement;
     if (version <= routes.version) return;
@@ -161,14 +161,14 @@
   }
 
   /** Applies a listing from a peer or the store; false: it is older. */
-  takeListing(listing: ReplicaListing, source: string): boolean {
+  applyListing(listing: ReplicaListing, source: string): boolean {
     const { clock, eras, replicas } = this.#context;
     const now = clock.now();
-    eras.hear(listing.revision, now);
+    eras.observe(listing.revision, now);
     if (eraOf(listing.revision) < eras.era) return false;
     const change = replicas.adopt(listing, {
       keepMissing: this.retainsMissing(now),
-      leaveOutGone: !eras.isSettled(now),
+      excludeRemoved: !eras.isSettled(now),
     });
     if (change) this.#noteChange(change, listing.revision, source);
     return change !== undefined;
@@ -177,9 +177,9 @@
   /** Applies changes of the store's listing; false: they are older. */
   applyChanges(changes: ListingChanges): boolean {
     const { clock, eras, replicas } = this.#context;
-    eras.hear(changes.revision, clock.now());
+    eras.observe(changes.revision, clock.now());
     if (eraOf(changes.revision) < eras.era) return false;
-    const change = replicas.change(changes);
+    const change = replicas.applyChanges(changes);
     if (change) this.#noteChange(change, changes.revision, "store");
     return change !== undefined;
   }
@@ -190,16 +190,16 @@
     const { clock, replicas, eras } = this.#context;
     const now = clock.now();
     const { listing, ageMs, era } = message;
-    if (message.config) this.takeConfig(message.config, reader);
+    if (message.config) this.applyConfig(message.config, reader);
     if (configAsOf !== undefined) this.noteNewest(message.version, configAsOf);
-    this.noteHeard(announcementOf(report), reader);
+    this.noteVersion(announcementOf(report), reader);
     if (era !== undefined) {
       const isSettled = ageMs !== undefined && message.isSettling !== true;
-      eras.hear(positionOf(era, 0), now, { isSettled });
+      eras.observe(positionOf(era, 0), now, { isSettled });
     }
     // A report of an earlier era says nothing about the current store state.
     if ((era ?? 0) < eras.era) return true;
-    const change = listing ? replicas.follow(listing) : undefined;
+    const change = listing ? replicas.applyDelta(listing) : undefined;
     if (change === "gap") return false;
     if (listing && change && change !== "older") {
       this.#noteChange(change, listing.revision, reader);
@@ -250,19 +250,19 @@
       if (before === undefined) continue;
       events.note("replicaRestarted", { replica: incarnation, before });
     }
-    for (const { incarnation } of change.leaving) {
+    for (const { incarnation } of change.draining) {
       events.note("replicaLeaving", { replica: incarnation, revision, source });
     }
     for (const entry of change.removed) {
       const { incarnation } = entry;
       events.note("replicaRemoved", { replica: incarnation, revision, source });
-      pool.forget(incarnation);
-      crashes.gone(entry);
+      pool.removeReplica(incarnation);
+      crashes.noteRemoved(entry);
     }
-    const leaving = [...change.leaving, ...change.added]
+    const leaving = [...change.draining, ...change.added]
       .filter((entry) => entry.leaving);
     this.#options.onLeaving(leaving.map((entry) => entry.incarnation));
-    const count = change.renewed.length + change.removed.length;
+    const count = change.changedIds.length + change.removed.length;
     if (count > 0) this.#options.onChange();
   }
 }
--- a/src/gateway/state/within.ts
+++ b/src/gateway/state/with_timeout.ts
@@ -12,7 +12,7 @@
 };
 
 /** Runs a call with a timeout; undefined if it fails or times out. */
-export async function within<Value>(
+export async function withTimeout<Value>(
   call: LimitedCall<Value>,
 ): Promise<Value | undefined> {
   const { clock, timeoutMs } = call;
--- a/src/gateway/suspension.ts
+++ b/src/gateway/suspension.ts
@@ -17,9 +17,9 @@
 /** Options of {@link SuspensionWatch}. */
 export type SuspensionWatchOptions = {
   /** Reads the monotonic clock. */
-  readonly steadyNow: () => Milliseconds;
+  readonly monotonicNow: () => Milliseconds;
   /** Reads the wall clock. */
-  readonly dayNow: () => Milliseconds;
+  readonly wallClockNow: () => Milliseconds;
 };
 
 /** Receives the estimated duration of the suspension. */
@@ -34,11 +34,11 @@
 
   constructor(options: SuspensionWatchOptions) {
     this.#options = options;
-    this.#offsetMs = options.dayNow() - options.steadyNow();
+    this.#offsetMs = options.wallClockNow() - options.monotonicNow();
   }
 
   /** Calls `listener` after each suspension, within {@link check}. */
-  listen(listener: SuspensionListener): void {
+  addListener(listener: SuspensionListener): void {
     this.#listeners.push(listener);
   }
 
@@ -47,7 +47,8 @@
    * cached data, and before and after an operation whose duration matters.
    */
   check(): number {
-    const offsetMs = this.#options.dayNow() - this.#options.steadyNow();
+    const offsetMs = this.#options.wallClockNow() -
+      this.#options.monotonicNow();
     const forMs = offsetMs - this.#offsetMs;
     this.#offsetMs = offsetMs;
     if (forMs <= MIN_SUSPENSION_MS) return this.#count;
--- a/src/gateway/upstreams/call.ts
+++ b/src/gateway/upstreams/call.ts
@@ -36,7 +36,7 @@
    * Called once the call has a connection, for which it may have waited. If it
    * returns false, nothing is sent. Without it, the request is always sent.
    */
-  readonly mayGo?: () => boolean;
+  readonly maySend?: () => boolean;
 };
 
 /** A response whose headers have been received. */
@@ -102,7 +102,7 @@
   watchSocket(clientRequest, {
     onConnected: () => {
       cancelTimer();
-      isConnected = options.mayGo?.() ?? true;
+      isConnected = options.maySend?.() ?? true;
       isWithheld = !isConnected;
       if (isWithheld) clientRequest.destroy();
     },
@@ -200,7 +200,7 @@
  * Reads the complete body of a response; undefined if it was cut off or is longer
  * than `maxBytes`.
  */
-export function readWhole(
+export function readBody(
   answer: Answer,
   maxBytes: number,
 ): Promise<string | undefined> {
--- a/src/gateway/upstreams/engine_call.ts
+++ b/src/gateway/upstreams/engine_call.ts
@@ -4,7 +4,7 @@
  */
 import type { Milliseconds } from "../../util/units.ts";
 import type { GatewayContext } from "../context.ts";
-import type { SmallCall } from "../port.ts";
+import type { JsonCall } from "../port.ts";
 import type { ReplicaEntry } from "../replicas/model.ts";
 import type { JsonAnswer } from "./json_client.ts";
 
@@ -19,16 +19,16 @@
   >,
   entry: ReplicaEntry,
   { call, timeoutMs }: {
-    readonly call: SmallCall & { readonly headers?: readonly string[] };
+    readonly call: JsonCall & { readonly headers?: readonly string[] };
     readonly timeoutMs: Milliseconds;
   },
 ): Promise<JsonAnswer | undefined> {
   const sentAt = clock.now();
-  const answer = await pool.small(entry, call, timeoutMs);
+  const answer = await pool.sendSmall(entry, call, timeoutMs);
   if (!answer) return undefined;
   const notice = dialect.readAnswer(answer.status, answer.headers ?? {});
   if (!notice.misdirected) {
-    gate.hearCall(entry.incarnation, notice, { sentAt });
+    gate.observeCall(entry.incarnation, notice, { sentAt });
   }
   return answer;
 }
--- a/src/gateway/upstreams/json_client.ts
+++ b/src/gateway/upstreams/json_client.ts
@@ -1,8 +1,8 @@
 /** JSON calls to one address over persistent connections. */
 import { Agent, type IncomingHttpHeaders } from "node:http";
-import type { SmallCall } from "../port.ts";
+import type { JsonCall } from "../port.ts";
 import type { Clock } from "../clock.ts";
-import { readWhole, startCall } from "./call.ts";
+import { readBody, startCall } from "./call.ts";
 
 /** A complete response. */
 export type JsonAnswer = {
@@ -15,7 +15,7 @@
 /** A client for one address. */
 export type JsonClient = {
   /** Rejects if no complete response arrives or `signal` aborts the call. */
-  call(call: SmallCall, signal: AbortSignal): Promise<JsonAnswer>;
+  call(call: JsonCall, signal: AbortSignal): Promise<JsonAnswer>;
   close(): void;
 };
 
@@ -41,7 +41,7 @@
 
 async function sendCall(
   state: ClientState,
-  smallCall: SmallCall,
+  smallCall: JsonCall,
   signal: AbortSignal,
 ): Promise<JsonAnswer> {
   signal.throwIfAborted();
@@ -58,7 +58,7 @@
   try {
     const outcome = await call.outcome;
     if (outcome.type !== "answer") throw new Error(outcome.reason);
-    const body = await readWhole(outcome.answer, MAX_BODY_BYTES);
+    const body = await readBody(outcome.answer, MAX_BODY_BYTES);
     if (body === undefined) {
       throw new Error("Response body cut off or too long");
     }
--- a/src/gateway/upstreams/pool.ts
+++ b/src/gateway/upstreams/pool.ts
@@ -5,10 +5,10 @@
 import type { Agent } from "node:http";
 import type { Milliseconds } from "../../util/units.ts";
 import type { Clock } from "../clock.ts";
-import type { SmallCall } from "../port.ts";
-import { type Call, readWhole, startCall } from "./call.ts";
+import type { JsonCall } from "../port.ts";
+import { type Call, readBody, startCall } from "./call.ts";
 import type { JsonAnswer } from "./json_client.ts";
-import { KeepAliveAgent } from "./kept_agent.ts";
+import { KeepAliveAgent } from "./keep_alive_agent.ts";
 
 const MAX_SMALL_BODY_BYTES = 1 << 20;
 const JSON_HEADERS = ["Content-Type", "application/json"];
@@ -39,11 +39,11 @@
     readonly path: string;
     readonly headers: readonly string[];
     readonly body: Buffer;
-    readonly mostConnections: number;
+    readonly maxConnections: number;
     /** As in {@link CallOptions}. */
-    readonly mayGo: () => boolean;
+    readonly maySend: () => boolean;
   }): Call {
-    const { incarnation, mostConnections: maxConnections } = options;
+    const { incarnation, maxConnections: maxConnections } = options;
     return startCall({
       ...options,
       agent: agentOf(this.#requestAgents, incarnation, maxConnections),
@@ -56,9 +56,9 @@
    * Makes a small call; undefined if no complete response arrives within
    * `timeoutMs`.
    */
-  async small(
+  async sendSmall(
     entry: { readonly address: string; readonly incarnation: string },
-    smallCall: SmallCall & { readonly headers?: readonly string[] },
+    smallCall: JsonCall & { readonly headers?: readonly string[] },
     timeoutMs: Milliseconds,
   ): Promise<JsonAnswer | undefined> {
     const call = startCall({
@@ -84,7 +84,7 @@
     );
     const outcome = await call.outcome;
     const body = outcome.type === "answer"
-      ? await readWhole(outcome.answer, MAX_SMALL_BODY_BYTES)
+      ? await readBody(outcome.answer, MAX_SMALL_BODY_BYTES)
       : undefined;
     cancel();
     if (outcome.type !== "answer" || body === undefined) return undefined;
@@ -93,7 +93,7 @@
   }
 
   /** Drops the agents of a removed replica and closes their idle connections. */
-  forget(incarnation: string): void {
+  removeReplica(incarnation: string): void {
     this.#smallCallAgents.get(incarnation)?.destroy();
     this.#smallCallAgents.delete(incarnation);
     // Requests in progress keep their connections until they end.
--- a/src/operators/publish.ts
+++ b/src/operators/publish.ts
@@ -30,7 +30,7 @@
 };
 
 /** Outcome of a publish. */
-export type Published =
+export type PublishOutcome =
   | {
     readonly type: "accepted";
     readonly version: number;
@@ -60,7 +60,7 @@
 export async function publish(
   store: Store,
   change: Change,
-): Promise<Published> {
+): Promise<PublishOutcome> {
   let responseLost = false;
   for (let attempt = 0; attempt < MAX_WRITE_ATTEMPTS; attempt += 1) {
     const outcome = await store.write(toConditionalChanges(change));
@@ -98,7 +98,7 @@
   store: Store,
   change: Change,
   keys: readonly string[],
-): Promise<Published> {
+): Promise<PublishOutcome> {
   if (keys.includes(CHANGE_PREFIX + change.id)) {
     return await readBack(store, change);
   }
@@ -106,7 +106,7 @@
   return { type: "conflict", keys, ...(theirs ? { theirs } : {}) };
 }
 
-async function readBack(store: Store, change: Change): Promise<Published> {
+async function readBack(store: Store, change: Change): Promise<PublishOutcome> {
   try {
     const row = await readRow(store, CHANGE_PREFIX + change.id);
     if (!row) return { type: "unknown", id: change.id };
--- a/src/programs/common/command.ts
+++ b/src/programs/common/command.ts
@@ -2,7 +2,7 @@
 import { existsSync, readFileSync } from "node:fs";
 import { Command } from "commander";
 import type { z } from "zod";
-import { faultLine, loadSettings } from "../../settings/load.ts";
+import { formatFault, loadSettings } from "../../settings/load.ts";
 import { ExitCode } from "./exit_code.ts";
 
 /** Creates a program's command with its version and exit codes. */
@@ -37,7 +37,7 @@
 ): z.output<Schema> {
   const loaded = loadSettings(file, schema);
   if (loaded.ok) return loaded.val;
-  for (const fault of loaded.val) console.error(faultLine(fault));
+  for (const fault of loaded.val) console.error(formatFault(fault));
   process.exit(ExitCode.usage);
 }
 
--- a/src/programs/ctl/context.ts
+++ b/src/programs/ctl/context.ts
@@ -5,9 +5,9 @@
 import {
   type Change,
   publish,
-  type Published,
+  type PublishOutcome,
 } from "../../operators/publish.ts";
-import { hostStore, platformStore } from "../../operators/reach.ts";
+import { hostStore, platformStore } from "../../operators/store_clients.ts";
 import type { Store } from "../../operators/store.ts";
 import type { ControlTarget } from "../../shell/mod.ts";
 import { sha256 } from "../../util/sha256.ts";
@@ -89,7 +89,7 @@
   process.exitCode = exitCodeOf(outcome);
 }
 
-function exitCodeOf(outcome: Published): number {
+function exitCodeOf(outcome: PublishOutcome): number {
   switch (outcome.type) {
     case "accepted":
       return ExitCode.ok;
@@ -100,7 +100,7 @@
   }
 }
 
-function formatOutcome(change: RowChange, outcome: Published): string {
+function formatOutcome(change: RowChange, outcome: PublishOutcome): string {
   switch (outcome.type) {
     case "accepted": {
       const note = outcome.resolved ? " (an answer was lost; read back)" : "";
--- a/src/programs/ctl/status.ts
+++ b/src/programs/ctl/status.ts
@@ -6,7 +6,7 @@
 import { callControl } from "../../shell/mod.ts";
 import { ExitCode } from "../common/exit_code.ts";
 import { type CommandContext, createContext } from "./context.ts";
-import { findRequestLines, formatRequestLines } from "./story.ts";
+import { findRequestLines, formatRequestLines } from "./request_log.ts";
 import { formatTable } from "./table.ts";
 
 export function addStatusCommands(program: Command): void {
--- a/src/programs/load/workload.ts
+++ b/src/programs/load/workload.ts
@@ -1,7 +1,7 @@
 /** Workloads: streams of requests with Poisson arrivals and periodic bursts. */
 import { xoroshiro128plus } from "pure-rand";
 import * as z from "zod";
-import { draw } from "../../core/mod.ts";
+import { randomInt } from "../../core/mod.ts";
 import { duration } from "../../settings/units.ts";
 
 const Range = z.tuple([z.int().min(1), z.int().min(1)]);
@@ -62,9 +62,9 @@
   seed: number,
 ): Arrival[] {
   const random = xoroshiro128plus(seed);
-  const uniform = (): number => (draw(random, 1_000_000) + 1) / 1_000_001;
+  const uniform = (): number => (randomInt(random, 1_000_000) + 1) / 1_000_001;
   const intInRange = ([low, high]: readonly [number, number]): number =>
-    low + draw(random, Math.max(1, high - low + 1));
+    low + randomInt(random, Math.max(1, high - low + 1));
   const generated: Arrival[] = [];
   let at = 0;
   for (;;) {
@@ -72,7 +72,7 @@
     at += -Math.log(uniform()) / rate * 1000;
     if (at >= workload.duration) return generated;
     const tokens = intInRange(stream.prompt_tokens);
-    const group = draw(random, Math.max(1, stream.shared_prefixes));
+    const group = randomInt(random, Math.max(1, stream.shared_prefixes));
     const prompt = makePrompt(stream, group, tokens, generated.length);
     const outputTokens = intInRange(stream.output_tokens);
     generated.push({ at, stream, prompt, outputTokens });
--- a/src/settings/load.ts
+++ b/src/settings/load.ts
@@ -54,7 +54,7 @@
 }
 
 /** Formats a fault as one line. */
-export function faultLine(fault: SettingsFault): string {
+export function formatFault(fault: SettingsFault): string {
   const location = fault.key === ""
     ? fault.file
     : `${fault.file}: ${fault.key}`;
--- a/src/shell/platform/client.ts
+++ b/src/shell/platform/client.ts
@@ -2,7 +2,7 @@
 import PQueue from "p-queue";
 import * as z from "zod";
 import type { Event, HostList, Order, TableChange } from "../../core/mod.ts";
-import { entryFromWire } from "../../util/list_entry.ts";
+import { decodeListEntry } from "../../util/list_entry.ts";
 import { callText } from "../upstreams/http.ts";
 
 /** Orders that concern the platform. */
@@ -89,7 +89,7 @@
     const { revision, entries } = HostsAnswer.parse(JSON.parse(text));
     return {
       revision,
-      entries: entries.map(entryFromWire),
+      entries: entries.map(decodeListEntry),
     };
   }
 
--- a/src/standins/platform/server.ts
+++ b/src/standins/platform/server.ts
@@ -4,7 +4,7 @@
   ListEntrySchema,
   type PlatformSettings,
 } from "../../settings/standin.ts";
-import { entryFromWire, entryToWire } from "../../util/list_entry.ts";
+import { decodeListEntry, encodeListEntry } from "../../util/list_entry.ts";
 import {
   type Exchange,
   type RunningStandin,
@@ -40,7 +40,7 @@
   settings: PlatformSettings,
 ): Promise<RunningStandin & { readonly platform: Platform }> {
   const platform = createPlatform();
-  putHosts(platform, settings.hosts.map(entryFromWire));
+  putHosts(platform, settings.hosts.map(decodeListEntry));
   const running = await startServer(settings.listen, (exchange) => {
     serve(platform, exchange);
   });
@@ -78,7 +78,7 @@
     const { revision, entries } = platform.list;
     return sendJson(response, 200, {
       revision,
-      entries: entries.map(entryToWire),
+      entries: entries.map(encodeListEntry),
     });
   }
   if (route === "POST /hosts") {
@@ -95,7 +95,7 @@
 function changeHosts(platform: Platform, body: unknown): void {
   const whole = Added.safeParse(body);
   if (whole.success) {
-    return putHosts(platform, whole.data.hosts.map(entryFromWire));
+    return putHosts(platform, whole.data.hosts.map(decodeListEntry));
   }
   const { id, leaving } = Leaving.parse(body);
   const entries = platform.list.entries
--- a/src/util/line_fit.ts
+++ b/src/util/line_fit.ts
@@ -13,7 +13,7 @@
 export type Line = { readonly base: number; readonly slope: number };
 
 /** Creates a fit without samples. */
-export function emptyFit(): LineFit {
+export function createLineFit(): LineFit {
   return { weight: 0, x: 0, y: 0, xx: 0, xy: 0 };
 }
 
@@ -32,7 +32,7 @@
 }
 
 /** The fitted line; undefined with too few samples, little spread or slope <= 0. */
-export function fittedLine(fit: LineFit): Line | undefined {
+export function computeLine(fit: LineFit): Line | undefined {
   const { weight, x, y, xx, xy } = fit;
   if (weight < 3) return undefined;
   const spread = weight * xx - x * x;
--- a/src/util/list_entry.ts
+++ b/src/util/list_entry.ts
@@ -18,7 +18,7 @@
 };
 
 /** Converts an entry from the wire format. */
-export function entryFromWire(entry: WireEntry): ListEntry {
+export function decodeListEntry(entry: WireEntry): ListEntry {
   return {
     id: entry.id,
     kind: entry.kind,
@@ -36,7 +36,7 @@
 }
 
 /** Converts an entry to the wire format. */
-export function entryToWire(entry: ListEntry): WireEntry {
+export function encodeListEntry(entry: ListEntry): WireEntry {
   const { checksOrders, prefillRate, cacheTokens, ...rest } = entry;
   return {
     ...rest,
--- a/test/bench/sweep_test.ts
+++ b/test/bench/sweep_test.ts
@@ -1,7 +1,11 @@
 /** Figures of a sweep are read from what it prints. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { carriedTo, readSweep, tableOf } from "../../bench/capacity/sweep.ts";
+import {
+  extrapolate,
+  formatTable,
+  readSweep,
+} from "../../bench/capacity/sweep.ts";
 
 const TEXT = [
   "sweep-10               10/99   0.79  0.786  0.924   0.000  0.032  worst zone 0.78",
@@ -38,12 +42,12 @@
 test("the busiest host is carried on by its power", () => {
   const { rows: [row], sizes } = readSweep(TEXT);
   assert.ok(row);
-  assert.equal(carriedTo(100, row, sizes), 285);
-  assert.equal(Math.round(carriedTo(330, row, sizes)), 855);
+  assert.equal(extrapolate(100, row, sizes), 285);
+  assert.equal(Math.round(extrapolate(330, row, sizes)), 855);
 });
 
 test("a table names what a size broke", () => {
-  const table = tableOf(readSweep(TEXT), 330);
+  const table = formatTable(readSweep(TEXT), 330);
   assert.match(table, /\| kB a second \| 30\.4 \/ 35\.3 \| 25\.2 \/ 285 \|/);
   assert.match(table, /0\.846, broken: CONFIG 1/);
 });
--- a/test/core/policies/predicted_cost_test.ts
+++ b/test/core/policies/predicted_cost_test.ts
@@ -8,13 +8,13 @@
   type Query,
   step,
 } from "../../../src/core/mod.ts";
-import { listOf, smallLayout } from "../../fake/layout.ts";
+import { hostListOf, smallLayout } from "../../fake/layout.ts";
 
 const world = createWorld({
   self: { id: "brest-1", hall: "brest", region: "region", incarnation: 1 },
   seed: 1,
 });
-const list = { revision: 1, entries: listOf(smallLayout()) };
+const list = { revision: 1, entries: hostListOf(smallLayout()) };
 step(world, [{ type: "hostList", list }], 0);
 
 function candidate(id: string, given: Partial<Candidate> = {}): Candidate {
--- a/test/core/systems/retry_test.ts
+++ b/test/core/systems/retry_test.ts
@@ -10,7 +10,7 @@
   type World,
 } from "../../../src/core/mod.ts";
 import { callerRequest } from "../../fake/callers.ts";
-import { listOf, smallLayout } from "../../fake/layout.ts";
+import { hostListOf, smallLayout } from "../../fake/layout.ts";
 import { seedRows } from "../../fake/seed_rows.ts";
 
 /** A host that is alone and plans for itself. */
@@ -19,7 +19,7 @@
     self: { id: "brest-1", hall: "brest", region: "region", incarnation: 1 },
     seed: 1,
   });
-  const entries = listOf(smallLayout())
+  const entries = hostListOf(smallLayout())
     .filter((one) => one.kind === "upstream" || one.id === "brest-1");
   step(world, [{ type: "hostList", list: { revision: 1, entries } }], 0);
   const orders = step(world, [{ type: "tick" }], 0);
