--- a/test/core/systems/sweep_test.ts
+++ b/test/core/systems/sweep_test.ts
@@ -2,14 +2,14 @@
 import { test } from "node:test";
 import assert from "node:assert/strict";
 import { createWorld, type Order, step } from "../../../src/core/mod.ts";
-import { listOf, smallLayout } from "../../fake/layout.ts";
+import { hostListOf, smallLayout } from "../../fake/layout.ts";
 
 function cancelledOf(attempts: readonly string[]): string[] {
   const world = createWorld({
     self: { id: "brest-1", hall: "brest", region: "region", incarnation: 5 },
     seed: 1,
   });
-  const list = { revision: 1, entries: listOf(smallLayout()) };
+  const list = { revision: 1, entries: hostListOf(smallLayout()) };
   step(world, [{ type: "hostList", list }, { type: "tick" }], 0);
   const held = { type: "heldList" as const, upstream: "d-brest", attempts };
   const orders: readonly Order[] = step(world, [held], 10);
--- a/test/core/systems/upstreams_test.ts
+++ b/test/core/systems/upstreams_test.ts
@@ -3,14 +3,14 @@
 import assert from "node:assert/strict";
 import { createWorld, type Event, step } from "../../../src/core/mod.ts";
 import { cachedTokens, stepLine } from "../../../src/core/systems/upstreams.ts";
-import { listOf, smallLayout } from "../../fake/layout.ts";
+import { hostListOf, smallLayout } from "../../fake/layout.ts";
 
 function newWorld() {
   const world = createWorld({
     self: { id: "brest-1", hall: "brest", region: "region", incarnation: 1 },
     seed: 1,
   });
-  const list = { revision: 1, entries: listOf(smallLayout()) };
+  const list = { revision: 1, entries: hostListOf(smallLayout()) };
   step(world, [{ type: "hostList", list }], 0);
   return world;
 }
--- a/test/fake/callers.ts
+++ b/test/fake/callers.ts
@@ -28,18 +28,18 @@
 };
 
 /** What a fake caller has received for a request. */
-export type Got = {
+export type CallRecord = {
   readonly id: string;
   readonly call: Call;
-  readonly at: number;
+  readonly sentAt: number;
   text: string;
   tokens: number;
-  firstAt?: number;
+  firstTokenAt?: number;
   endedAt?: number;
-  whole: boolean;
-  gone: boolean;
+  isComplete: boolean;
+  isCancelled: boolean;
   /** The entry host crashed before the response ended. */
-  broken: boolean;
+  isInterrupted: boolean;
   error?: ErrorKind;
   ran?: Ran;
   retryAfterSeconds?: number;
--- a/test/fake/carry.ts
+++ b/test/fake/execute_order.ts
@@ -1,8 +1,8 @@
 /** Executes the orders of a core in the fake fleet. */
 import type { Event, Order, UpstreamId } from "../../src/core/mod.ts";
 import { readRows, writeRows } from "../../src/standins/platform/model.ts";
-import type { Got } from "./callers.ts";
-import type { FakeHost, Fleet } from "./fleet.ts";
+import type { CallRecord } from "./callers.ts";
+import type { FakeFleet, FakeHost } from "./fleet.ts";
 import { PLATFORM } from "./network.ts";
 import type { FakeUpstream } from "./upstream.ts";
 
@@ -11,7 +11,11 @@
 const PLATFORM_ROUND_TRIP_MS = 5;
 
 /** Executes one order of a host. */
-export function executeOrder(fleet: Fleet, host: FakeHost, order: Order): void {
+export function executeOrder(
+  fleet: FakeFleet,
+  host: FakeHost,
+  order: Order,
+): void {
   switch (order.type) {
     case "replyChunk":
     case "replyEnd":
@@ -95,14 +99,17 @@
   type: "replyChunk" | "replyEnd" | "replyPlain" | "replyError";
 }>;
 
-function reply(fleet: Fleet, order: Reply): void {
-  const record = fleet.got.get(order.request);
-  if (!record || record.gone || record.broken || record.endedAt !== undefined) {
+function reply(fleet: FakeFleet, order: Reply): void {
+  const record = fleet.callRecords.get(order.request);
+  if (
+    !record || record.isCancelled || record.isInterrupted ||
+    record.endedAt !== undefined
+  ) {
     return;
   }
   switch (order.type) {
     case "replyChunk":
-      record.firstAt ??= fleet.now;
+      record.firstTokenAt ??= fleet.now;
       record.text += order.text;
       record.tokens += order.tokens;
       return;
@@ -122,9 +129,13 @@
   }
 }
 
-function endCall(fleet: Fleet, record: Got, isComplete: boolean): void {
+function endCall(
+  fleet: FakeFleet,
+  record: CallRecord,
+  isComplete: boolean,
+): void {
   record.endedAt = fleet.now;
-  record.whole = isComplete;
+  record.isComplete = isComplete;
 }
 
 type WorkOrder = Extract<Order, {
@@ -133,7 +144,7 @@
 
 /** Sends work to an upstream, or delivers the failure to the host. */
 function sendWork(
-  fleet: Fleet,
+  fleet: FakeFleet,
   host: FakeHost,
   order: WorkOrder,
   start: (target: FakeUpstream) => void,
@@ -143,10 +154,10 @@
   const failure = order.type === "resume" ? "broken" : "not-started";
   const failed: Event = { type: "attemptFailed", attempt, upstream, failure };
   const { network } = fleet;
-  if (!network.reaches(host.hall, target.laid.hall)) {
+  if (!network.reaches(host.hall, target.layout.hall)) {
     return fleet.after(CONNECT_TIMEOUT_MS, () => fleet.deliver(host, failed));
   }
-  const delay = network.delay(host.hall, target.laid.hall);
+  const delay = network.delay(host.hall, target.layout.hall);
   fleet.after(delay, () => {
     if (target.alive) start(target);
     else fleet.after(delay, () => fleet.deliver(host, failed));
@@ -155,28 +166,28 @@
 
 /** Queries an upstream; an unreachable one sends no response. */
 function queryUpstream(
-  fleet: Fleet,
+  fleet: FakeFleet,
   host: FakeHost,
   upstream: UpstreamId,
   respond: (target: FakeUpstream) => Event | undefined,
 ): void {
   const target = fleet.upstream(upstream);
   const { network } = fleet;
-  if (!network.reaches(host.hall, target.laid.hall)) return;
-  const delay = network.delay(host.hall, target.laid.hall);
+  if (!network.reaches(host.hall, target.layout.hall)) return;
+  const delay = network.delay(host.hall, target.layout.hall);
   const { incarnation } = host;
   fleet.after(delay, () => {
     const event = target.alive ? respond(target) : undefined;
     if (!event) return;
     fleet.after(delay, () => {
-      if (!network.reaches(host.hall, target.laid.hall)) return;
+      if (!network.reaches(host.hall, target.layout.hall)) return;
       if (host.incarnation === incarnation) fleet.deliver(host, event);
     });
   });
 }
 
 function sendToPeer(
-  fleet: Fleet,
+  fleet: FakeFleet,
   host: FakeHost,
   order: Extract<Order, { type: "tell" }>,
 ): void {
@@ -194,7 +205,7 @@
   };
   fleet.after(network.delay(host.hall, peer.hall), () => {
     if (!peer.alive) return fleet.deliver(host, failed);
-    if (peer.frozen) {
+    if (peer.isSuspended) {
       fleet.after(PEER_TIMEOUT_MS, () => fleet.deliver(host, failed));
     }
     fleet.deliver(peer, event);
@@ -206,7 +217,7 @@
 }>;
 
 function callPlatform(
-  fleet: Fleet,
+  fleet: FakeFleet,
   host: FakeHost,
   order: PlatformCall,
 ): void {
@@ -225,7 +236,7 @@
 }
 
 function platformResponse(
-  fleet: Fleet,
+  fleet: FakeFleet,
   order: PlatformCall,
 ): Event | undefined {
   const { platform } = fleet;
--- a/test/fake/fleet.ts
+++ b/test/fake/fleet.ts
@@ -18,9 +18,9 @@
   putHosts,
   writeRows,
 } from "../../src/standins/platform/model.ts";
-import { type Call, callerRequest, type Got } from "./callers.ts";
-import { executeOrder } from "./carry.ts";
-import { type Layout, listOf } from "./layout.ts";
+import { type Call, callerRequest, type CallRecord } from "./callers.ts";
+import { executeOrder } from "./execute_order.ts";
+import { hostListOf, type Layout } from "./layout.ts";
 import { Network } from "./network.ts";
 import { TimeQueue } from "./queue.ts";
 import { FakeUpstream } from "./upstream.ts";
@@ -34,7 +34,7 @@
   readonly hall: string;
   world: World;
   alive: boolean;
-  frozen: boolean;
+  isSuspended: boolean;
   inbox: Event[];
   /** A step that handles the inbox is scheduled. */
   isStepScheduled: boolean;
@@ -42,7 +42,7 @@
   incarnation: number;
 };
 
-/** Options of {@link Fleet}. */
+/** Options of {@link FakeFleet}. */
 export type FleetOptions = {
   readonly layout: Layout;
   readonly seed: number;
@@ -53,13 +53,13 @@
 };
 
 /** Hosts and upstreams that share a virtual clock and a fake network. */
-export class Fleet {
+export class FakeFleet {
   readonly queue = new TimeQueue();
   readonly network = new Network();
   readonly platform: Platform = createPlatform();
   readonly hosts = new Map<string, FakeHost>();
   readonly upstreams = new Map<string, FakeUpstream>();
-  readonly got = new Map<string, Got>();
+  readonly callRecords = new Map<string, CallRecord>();
   readonly options: FleetOptions;
   /** Called with each order before it is executed. */
   onOrder: (host: FakeHost, order: Order) => void = () => undefined;
@@ -72,7 +72,7 @@
 
   constructor(options: FleetOptions) {
     this.options = options;
-    putHosts(this.platform, listOf(options.layout));
+    putHosts(this.platform, hostListOf(options.layout));
     if (!options.bare) writeRows(this.platform, seedRows());
     for (const upstream of options.layout.upstreams) {
       this.upstreams.set(upstream.id, new FakeUpstream(this, upstream));
@@ -86,7 +86,7 @@
       hall,
       world: this.#createWorld(id, hall, 1),
       alive: true,
-      frozen: false,
+      isSuspended: false,
       inbox: [],
       isStepScheduled: false,
       callCount: 0,
@@ -110,7 +110,7 @@
 
   #tick(host: FakeHost, incarnation: number): void {
     if (!host.alive || host.incarnation !== incarnation) return;
-    if (!host.frozen) this.deliver(host, { type: "tick" });
+    if (!host.isSuspended) this.deliver(host, { type: "tick" });
     this.after(TICK_INTERVAL_MS, () => this.#tick(host, incarnation));
   }
 
@@ -139,14 +139,14 @@
   deliver(host: FakeHost, event: Event): void {
     if (!host.alive) return;
     host.inbox.push(event);
-    if (host.frozen || host.isStepScheduled) return;
+    if (host.isSuspended || host.isStepScheduled) return;
     host.isStepScheduled = true;
     this.after(0, () => this.#step(host));
   }
 
   #step(host: FakeHost): void {
     host.isStepScheduled = false;
-    if (!host.alive || host.frozen) return;
+    if (!host.alive || host.isSuspended) return;
     const events = host.inbox;
     host.inbox = [];
     for (const order of step(host.world, events, this.now)) {
@@ -171,30 +171,30 @@
   }
 
   /** Sends a request of a caller to a host. */
-  call(call: Call): Got {
+  call(call: Call): CallRecord {
     const host = this.host(call.host);
     host.callCount += 1;
     const owner = { host: host.id, incarnation: host.incarnation };
     const id = requestId(owner, host.callCount);
-    const record: Got = {
+    const record: CallRecord = {
       id,
       call,
-      at: this.now,
+      sentAt: this.now,
       text: "",
       tokens: 0,
-      whole: false,
-      gone: false,
-      broken: !host.alive,
+      isComplete: false,
+      isCancelled: false,
+      isInterrupted: !host.alive,
     };
-    this.got.set(id, record);
+    this.callRecords.set(id, record);
     this.deliver(host, callerRequest(id, call));
     return record;
   }
 
   /** Disconnects a caller before its response ends. */
-  hangUp(record: Got): void {
+  cancelCall(record: CallRecord): void {
     if (record.endedAt !== undefined) return;
-    record.gone = true;
+    record.isCancelled = true;
     const host = this.host(record.call.host);
     this.deliver(host, { type: "callerGone", request: record.id });
   }
@@ -203,11 +203,11 @@
   kill(id: string): void {
     const host = this.host(id);
     host.alive = false;
-    host.frozen = false;
+    host.isSuspended = false;
     host.inbox = [];
-    for (const record of this.got.values()) {
+    for (const record of this.callRecords.values()) {
       const isPending = record.call.host === id && record.endedAt === undefined;
-      if (isPending) record.broken = true;
+      if (isPending) record.isInterrupted = true;
     }
   }
 
@@ -224,9 +224,9 @@
   }
 
   /** Suspends a host, or resumes it with its state unchanged. */
-  freeze(id: string, isSuspended: boolean): void {
+  setSuspended(id: string, isSuspended: boolean): void {
     const host = this.host(id);
-    host.frozen = isSuspended;
+    host.isSuspended = isSuspended;
     if (!isSuspended && host.alive) this.deliver(host, { type: "tick" });
   }
 }
--- a/test/fake/layout.ts
+++ b/test/fake/layout.ts
@@ -25,7 +25,7 @@
 const REGION = "region";
 
 /** Returns the platform's host list for a layout. */
-export function listOf(layout: Layout): ListEntry[] {
+export function hostListOf(layout: Layout): ListEntry[] {
   const hosts = layout.hosts.map((host) =>
     listEntry({ id: host.id, hall: host.hall, kind: "entry" })
   );
--- a/test/fake/network.ts
+++ b/test/fake/network.ts
@@ -17,12 +17,12 @@
   }
 
   /** Restores the link between two locations. */
-  heal(a: string, b: string): void {
+  restore(a: string, b: string): void {
     this.#cuts.delete(linkKey(a, b));
   }
 
   /** Restores all links. */
-  healAll(): void {
+  restoreAll(): void {
     this.#cuts.clear();
   }
 
--- a/test/fake/seed_rows.ts
+++ b/test/fake/seed_rows.ts
@@ -26,14 +26,14 @@
         },
       },
     }),
-    customer("armor", {}),
-    customer("forum", { first_token_ms: 2000, priority: 4 }),
-    customer("counter", { first_token_ms: 400, priority: 7 }),
+    customerRow("armor", {}),
+    customerRow("forum", { first_token_ms: 2000, priority: 4 }),
+    customerRow("counter", { first_token_ms: 400, priority: 7 }),
   ];
 }
 
 /** Returns a customer's row, with a key hash that is derived from its name. */
-export function customer(
+export function customerRow(
   name: string,
   parameters: Record<string, number | string>,
 ): Change {
--- a/test/fake/upstream.ts
+++ b/test/fake/upstream.ts
@@ -27,7 +27,7 @@
   type PlainService,
 } from "../../src/standins/plain/model.ts";
 import type { FakeBody } from "./callers.ts";
-import type { FakeHost, Fleet } from "./fleet.ts";
+import type { FakeFleet, FakeHost } from "./fleet.ts";
 import type { UpstreamLayout } from "./layout.ts";
 
 /** The order of a prefill or a decode. */
@@ -40,22 +40,22 @@
 
 /** An upstream of a fake fleet. */
 export class FakeUpstream {
-  readonly laid: UpstreamLayout;
-  readonly #fleet: Fleet;
+  readonly layout: UpstreamLayout;
+  readonly #fleet: FakeFleet;
   engine: Engine;
   plain: PlainService;
   alive = true;
   epoch = 1;
   /** How many of the next cancels are lost. */
-  loseCancels = 0;
+  cancelsToDrop = 0;
   /** The share of pages of cache events that lose events, from 0 to 1. */
-  dropCacheShare = 0;
+  cacheEventLossRate = 0;
   /** The host that reads the response, by attempt. */
   readonly #readers = new Map<AttemptId, string>();
   /** How often each attempt has started, over all restarts. */
-  readonly startedEver = new Map<AttemptId, number>();
+  readonly startCounts = new Map<AttemptId, number>();
   /** How often each plain call has run, by text, over all restarts. */
-  readonly ranEver = new Map<string, number>();
+  readonly plainRunCounts = new Map<string, number>();
   /** Whether orders with a lower fence than the highest so far are refused. */
   checksOrders: boolean;
   /** Accepted orders to change the role. */
@@ -68,26 +68,26 @@
   #nextUpdateAt = Infinity;
   #pages = 0;
 
-  constructor(fleet: Fleet, layout: UpstreamLayout) {
+  constructor(fleet: FakeFleet, layout: UpstreamLayout) {
     this.#fleet = fleet;
-    this.laid = layout;
+    this.layout = layout;
     this.checksOrders = layout.checksOrders ?? true;
     this.engine = this.#createEngine();
     this.plain = this.#createPlain();
   }
 
   #createEngine(): Engine {
-    const parameters = { ...DEFAULT_ENGINE, ...this.laid.engine };
-    return createEngine(this.laid.id, parameters, this.epoch);
+    const parameters = { ...DEFAULT_ENGINE, ...this.layout.engine };
+    return createEngine(this.layout.id, parameters, this.epoch);
   }
 
   #createPlain(): PlainService {
     const options = { slots: 8, serviceMs: 30 };
-    return createPlain(this.laid.id, options, this.epoch);
+    return createPlain(this.layout.id, options, this.epoch);
   }
 
   /** Crashes: loses all state and breaks the connections of its readers. */
-  die(): void {
+  crash(): void {
     this.alive = false;
     for (const attempt of this.#readers.keys()) {
       this.#sendToReader(attempt, this.#attemptFailed(attempt, "broken"));
@@ -100,7 +100,7 @@
 
   /** Restarts with empty state. */
   restart(): void {
-    if (this.alive) this.die();
+    if (this.alive) this.crash();
     this.alive = true;
     this.#nextUpdateAt = Infinity;
   }
@@ -118,7 +118,7 @@
 
   /** Returns the attempts that occupy memory. */
   held(): AttemptId[] {
-    return this.laid.role === "plain"
+    return this.layout.role === "plain"
       ? [
         ...this.plain.running.keys(),
         ...this.plain.waiting.map((call) => call.attempt),
@@ -143,7 +143,7 @@
   call(reader: FakeHost, attempt: AttemptId, body: string): void {
     this.#noteStart(reader, attempt);
     const { text } = JSON.parse(body) as FakeBody;
-    this.ranEver.set(text, (this.ranEver.get(text) ?? 0) + 1);
+    this.plainRunCounts.set(text, (this.plainRunCounts.get(text) ?? 0) + 1);
     acceptCall(this.plain, attempt, text, this.#fleet.now);
     this.update();
   }
@@ -159,8 +159,8 @@
     this.#readers.set(attempt, reader.id);
     this.lastStartAt = this.#fleet.now;
     this.startTimes.push(this.#fleet.now);
-    const before = this.startedEver.get(attempt) ?? 0;
-    this.startedEver.set(attempt, before + 1);
+    const before = this.startCounts.get(attempt) ?? 0;
+    this.startCounts.set(attempt, before + 1);
   }
 
   resume(reader: FakeHost, attempt: AttemptId, after: number): void {
@@ -170,8 +170,8 @@
   }
 
   cancel(attempt: AttemptId): boolean {
-    if (this.loseCancels > 0) {
-      this.loseCancels -= 1;
+    if (this.cancelsToDrop > 0) {
+      this.cancelsToDrop -= 1;
       return false;
     }
     cancel(this.engine, attempt, this.#fleet.now);
@@ -184,7 +184,7 @@
   load(): Event {
     const { now } = this.#fleet;
     const { plain } = this;
-    const report = this.laid.role === "plain"
+    const report = this.layout.role === "plain"
       ? {
         running: plain.running.size,
         slots: plain.slots,
@@ -195,7 +195,7 @@
         epoch: plain.epoch,
       }
       : load(this.engine, now);
-    return { type: "loadReport", upstream: this.laid.id, report };
+    return { type: "loadReport", upstream: this.layout.id, report };
   }
 
   cacheEvents(after: number): Event {
@@ -203,12 +203,12 @@
     this.#pages += 1;
     let { from } = page;
     let events: readonly CacheEvent[] = page.events;
-    if (this.#pages % 10 < this.dropCacheShare * 10) {
+    if (this.#pages % 10 < this.cacheEventLossRate * 10) {
       const lost = Math.ceil(events.length / 2);
       events = events.slice(lost);
       from += lost;
     }
-    return { type: "cacheEvents", upstream: this.laid.id, from, events };
+    return { type: "cacheEvents", upstream: this.layout.id, from, events };
   }
 
   /** Sends a retained export to another engine. */
@@ -252,7 +252,10 @@
         return this.#sendToReader(attempt, {
           type: "prefillDone",
           attempt,
-          transfer: JSON.stringify({ engine: this.laid.id, exportOf: attempt }),
+          transfer: JSON.stringify({
+            engine: this.layout.id,
+            exportOf: attempt,
+          }),
           keptMs: this.engine.parameters.exportMs,
           cachedTokens: output.cachedTokens,
         });
@@ -267,7 +270,7 @@
         );
       case "fetch": {
         const source = this.#fleet.upstream(output.engine);
-        const { id } = this.laid;
+        const { id } = this.layout;
         const { exportOf } = output;
         return this.#sendToUpstream(source, () => {
           if (source.alive) source.sendExport(exportOf, id, attempt);
@@ -284,14 +287,14 @@
   }
 
   #attemptFailed(attempt: AttemptId, failure: "broken" | "gone"): Event {
-    const upstream = this.laid.id;
+    const upstream = this.layout.id;
     return { type: "attemptFailed", attempt, upstream, failure };
   }
 
   #sendToUpstream(other: FakeUpstream, run: () => void): void {
     const { network } = this.#fleet;
-    if (!network.reaches(this.laid.hall, other.laid.hall)) return;
-    this.#fleet.after(network.delay(this.laid.hall, other.laid.hall), run);
+    if (!network.reaches(this.layout.hall, other.layout.hall)) return;
+    this.#fleet.after(network.delay(this.layout.hall, other.layout.hall), run);
   }
 
   #sendToReader(attempt: AttemptId, event: Event): void {
@@ -299,10 +302,10 @@
     const host = reader && this.#fleet.hosts.get(reader);
     if (!host) return;
     const { network } = this.#fleet;
-    const delay = network.delay(this.laid.hall, host.hall);
+    const delay = network.delay(this.layout.hall, host.hall);
     const { incarnation } = host;
     this.#fleet.after(delay, () => {
-      if (!network.reaches(this.laid.hall, host.hall)) return;
+      if (!network.reaches(this.layout.hall, host.hall)) return;
       if (host.incarnation === incarnation) this.#fleet.deliver(host, event);
     });
   }
--- a/test/gateway/callers/server_test.ts
+++ b/test/gateway/callers/server_test.ts
@@ -2,7 +2,12 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { RouteKind } from "../../../src/gateway/mod.ts";
-import { chunk, chunkedHead, type RawAnswer, whole } from "../raw_replica.ts";
+import {
+  chunk,
+  chunkedHeaders,
+  completeResponse,
+  type RawAnswer,
+} from "../raw_replica.ts";
 import { ENGINE, type Rig, withRig } from "../rig.ts";
 
 const GRACE_MS = 8000;
@@ -10,14 +15,14 @@
 /** A decode replica that grants reservations and streams one event. */
 const decode: RawAnswer = (request, socket) => {
   if (request.path.startsWith("/reserve")) {
-    return void socket.write(whole(request, '{"reservation":"m1"}'));
+    return void socket.write(completeResponse(request, '{"reservation":"m1"}'));
   }
   const events = "id: 1\ndata: a\n\n";
-  socket.write(chunkedHead(request) + chunk(events) + chunk(""));
+  socket.write(chunkedHeaders(request) + chunk(events) + chunk(""));
 };
 
 function markStopping(rig: Rig, agoMs: number): void {
-  rig.context.stop.askedAt = rig.context.clock.now() - agoMs;
+  rig.context.stop.requestedAt = rig.context.clock.now() - agoMs;
   rig.context.stop.graceMs = GRACE_MS;
 }
 
@@ -41,7 +46,7 @@
 
 test("a stopping host serves requests to plain services until shortly before the grace period ends", async () => {
   const answer: RawAnswer = (request, socket) => {
-    socket.write(whole(request, "body"));
+    socket.write(completeResponse(request, "body"));
   };
   await withRig({ replicas: [{ answer }] }, async (rig) => {
     markStopping(rig, 5000);
@@ -53,7 +58,7 @@
 
 test("a chunked request body is forwarded unchanged with a Content-Length", async () => {
   const answer: RawAnswer = (request, socket) => {
-    socket.write(whole(request, request.body));
+    socket.write(completeResponse(request, request.body));
   };
   await withRig({ replicas: [{ answer }] }, async (rig) => {
     const headers = { "transfer-encoding": "chunked" };
@@ -68,7 +73,9 @@
 test("a connection whose response says Connection: close is not reused", async () => {
   let isFirst = true;
   const closing: RawAnswer = (request, socket) => {
-    socket.write(whole(request, "ok", isFirst ? ["connection: close"] : []));
+    socket.write(
+      completeResponse(request, "ok", isFirst ? ["connection: close"] : []),
+    );
     isFirst = false;
   };
   await withRig({ replicas: [{ answer: closing }] }, async (rig) => {
@@ -100,12 +107,12 @@
   const route = { kind: RouteKind.streaming, attempts: 1 };
   const slow: RawAnswer = (request, socket) => {
     socket.on("close", () => onClosed());
-    socket.write(chunkedHead(request) + chunk("id: 1\ndata: a\n\n"));
+    socket.write(chunkedHeaders(request) + chunk("id: 1\ndata: a\n\n"));
   };
   await withRig({ route, replicas: [{ answer: slow }] }, async (rig) => {
     const response = rig.call().catch(() => undefined);
-    await rig.arrived(1);
-    rig.leave();
+    await rig.waitForRequests(1);
+    rig.disconnectCaller();
     await closed;
     await response;
   });
@@ -113,7 +120,7 @@
 
 test("a host that waits for a newer configuration responds 503 instead of 404 for an unknown route", async () => {
   const answer: RawAnswer = (request, socket) => {
-    socket.write(whole(request, "ok"));
+    socket.write(completeResponse(request, "ok"));
   };
   await withRig({ replicas: [{ answer }] }, async (rig) => {
     const { routes } = rig.context;
--- a/test/gateway/crashes/crash_fleet_test.ts
+++ b/test/gateway/crashes/crash_fleet_test.ts
@@ -15,9 +15,9 @@
 
 /** A host detects that a replica crashed while it ran the request. */
 function crash(host: FleetHost, fingerprint: string, replica: string): void {
-  host.context.crashes.sendBroke(replicaEntry(replica), {
+  host.context.crashes.noteBrokenSend(replicaEntry(replica), {
     fingerprint: () => fingerprint,
-    isByReplica: true,
+    endedByReplica: true,
   });
 }
 
@@ -63,7 +63,7 @@
   const [first, second] = fleet.hosts as [FleetHost, FleetHost];
   for (const replica of ["a", "b"]) crash(first, "concurrent", replica);
   await fleet.runTo(FORMED_MS + PROPAGATED_MS);
-  second.context.crashes.answered(() => "concurrent");
+  second.context.crashes.noteAnswered(() => "concurrent");
   await fleet.runTo(FORMED_MS + 2 * PROPAGATED_MS);
   crash(first, "concurrent", "c");
   await fleet.runTo(FORMED_MS + 3 * PROPAGATED_MS);
@@ -88,8 +88,8 @@
   await fleet.runTo(FORMED_MS);
   const isInside = ({ entry }: FleetHost) => entry.hall === "hall-1";
   const inside = fleet.hosts.filter(isInside);
-  fleet.cut((from, to) => isInside(from) !== isInside(to));
-  for (const { entry } of inside) fleet.store.treat(entry.id, "silent");
+  fleet.partition((from, to) => isInside(from) !== isInside(to));
+  for (const { entry } of inside) fleet.store.setTreatment(entry.id, "silent");
   await fleet.runTo(FORMED_MS + 5000);
   const outside = fleet.hosts.filter((host) => !isInside(host));
   for (const replica of ["a", "b", "c"]) {
@@ -97,8 +97,8 @@
   }
   await fleet.runTo(FORMED_MS + 6000);
   assert.equal(countQuarantined(fleet.hosts, "crashing"), outside.length);
-  fleet.cut(() => false);
-  for (const { entry } of inside) fleet.store.treat(entry.id, "served");
+  fleet.partition(() => false);
+  for (const { entry } of inside) fleet.store.setTreatment(entry.id, "served");
   await fleet.runTo(FORMED_MS + 10_000);
   assert.equal(countQuarantined(fleet.hosts, "crashing"), 9);
 });
@@ -106,7 +106,7 @@
 test("halls that reach the store but not each other exchange crashes over it", async () => {
   const fleet = new StateFleet(9, 8);
   await fleet.runTo(FORMED_MS);
-  fleet.cut((from, to) => from.entry.hall !== to.entry.hall);
+  fleet.partition((from, to) => from.entry.hall !== to.entry.hall);
   await fleet.runTo(FORMED_MS + 8000);
   for (const [index, replica] of ["a", "b", "c"].entries()) {
     const hall = `hall-${index % 2}`;
@@ -125,7 +125,7 @@
   }
   await fleet.runTo(FORMED_MS + 2000);
   // No other host responds to the started host, as after a crash of all.
-  fleet.cut((from, to) => from !== to);
+  fleet.partition((from, to) => from !== to);
   const added = fleet.add();
   await fleet.runTo(FORMED_MS + 2500);
   assert.equal(countQuarantined([added], "crashing"), 1);
--- a/test/gateway/crashes/crash_table_test.ts
+++ b/test/gateway/crashes/crash_table_test.ts
@@ -6,12 +6,12 @@
 import { encodeCrashes } from "../../../src/gateway/crashes/crash_messages.ts";
 import type {
   Clearance,
-  CrashNews,
   CrashRecord,
+  CrashUpdate,
 } from "../../../src/gateway/crashes/model.ts";
 import "../../fixed_seed.ts";
 
-const RULE = { most: 3, lifeMs: 60_000 };
+const RULE = { crashThreshold: 3, ttlMs: 60_000 };
 const NOW = 15_000;
 
 function crash(fingerprint: string, incarnation: string, at = 0): CrashRecord {
@@ -21,14 +21,14 @@
 function updateOf(
   records: readonly CrashRecord[],
   acquittals: readonly Clearance[] = [],
-): CrashNews {
-  return { records, acquittals };
+): CrashUpdate {
+  return { records, clearances: acquittals };
 }
 
 /** The requests that are quarantined after these crashes. */
 function quarantined(...records: readonly CrashRecord[]): string[] {
   const table = new CrashTable(RULE);
-  table.take(updateOf(records), NOW);
+  table.merge(updateOf(records), NOW);
   return [...table.quarantines.keys()].sort();
 }
 
@@ -105,13 +105,13 @@
 
 test("a complete response clears a request of its earlier crashes", () => {
   const table = new CrashTable(RULE);
-  table.take(updateOf(crashes(["a", "b", "c"], "g")), NOW);
+  table.merge(updateOf(crashes(["a", "b", "c"], "g")), NOW);
   assert.ok(table.quarantineOf("g", NOW));
-  table.take(updateOf([], [{ fingerprint: "g", at: timeOf("c") + 1 }]), NOW);
+  table.merge(updateOf([], [{ fingerprint: "g", at: timeOf("c") + 1 }]), NOW);
   assert.equal(table.quarantineOf("g", NOW), undefined);
-  table.take(updateOf(crashes(["d", "e"], "g")), NOW);
+  table.merge(updateOf(crashes(["d", "e"], "g")), NOW);
   assert.equal(table.quarantineOf("g", NOW), undefined);
-  table.take(updateOf(crashes(["f"], "g")), NOW);
+  table.merge(updateOf(crashes(["f"], "g")), NOW);
   assert.deepEqual(table.quarantineOf("g", NOW)?.incarnations, ["d", "e", "f"]);
 });
 
@@ -120,7 +120,7 @@
   const records = ["a", "b", "c"].map((replica, index) =>
     crash("g", replica, index * 1000)
   );
-  table.take(updateOf(records), 2000);
+  table.merge(updateOf(records), 2000);
   assert.equal(table.quarantineOf("g", 61_999)?.until, 62_000);
   assert.equal(table.quarantineOf("g", 62_000), undefined);
   assert.equal(table.all(62_000).records.length, 0);
@@ -128,9 +128,9 @@
 
 test("a table is bounded and keeps the requests with the most crashes", () => {
   const table = new CrashTable(RULE);
-  table.take(updateOf(crashes(["a", "b", "c"], "crashing")), 0);
+  table.merge(updateOf(crashes(["a", "b", "c"], "crashing")), 0);
   for (let at = 0; at < 5000; at++) {
-    table.take(updateOf([crash(`r${at}`, "d")]), 0);
+    table.merge(updateOf([crash(`r${at}`, "d")]), 0);
   }
   assert.equal(table.size, 1000);
   assert.ok(table.quarantineOf("crashing", 0));
@@ -138,7 +138,7 @@
     { length: 100 },
     (_, at) => crash("crashing", `i${at}`),
   );
-  table.take(updateOf(many), 0);
+  table.merge(updateOf(many), 0);
   const all = table.all(0).records;
   assert.ok(
     all.filter((record) => record.fingerprint === "crashing").length <= 8,
@@ -153,9 +153,9 @@
   );
   for (let at = 0; at < 1000; at++) {
     const fingerprint = String(at).padStart(32, "0");
-    table.take(updateOf(crashes(incarnations, fingerprint)), NOW);
+    table.merge(updateOf(crashes(incarnations, fingerprint)), NOW);
   }
-  const sizeOf = (update: CrashNews) =>
+  const sizeOf = (update: CrashUpdate) =>
     JSON.stringify(encodeCrashes(update, NOW)).length;
   assert.ok(sizeOf(table.all(NOW)) < 1 << 20);
   const worst = table.worst({ minCount: 2, limit: 50 }, NOW);
@@ -199,14 +199,16 @@
         );
         // A clearance has no effect at hosts without a record of the request.
         const first = updateOf(updates.flatMap((update) => update.records));
-        const answers = updates.flatMap((update) => update.acquittals);
+        const answers = updates.flatMap((update) => update.clearances);
         const shuffled = [...updates].sort((a, b) =>
           (picks[updates.indexOf(a)] ?? 0) - (picks[updates.indexOf(b)] ?? 0)
         );
         const here = new CrashTable(RULE);
         const there = new CrashTable(RULE);
-        here.take(updateOf(first.records, answers), NOW);
-        for (const update of [...shuffled, ...updates]) there.take(update, NOW);
+        here.merge(updateOf(first.records, answers), NOW);
+        for (const update of [...shuffled, ...updates]) {
+          there.merge(update, NOW);
+        }
         assert.deepEqual(
           [...there.quarantines.keys()].sort(),
           [...here.quarantines.keys()].sort(),
--- a/test/gateway/crashes/crash_watch_test.ts
+++ b/test/gateway/crashes/crash_watch_test.ts
@@ -17,8 +17,8 @@
     clock: time.clock,
     events: { note: () => undefined },
     metrics: { count: () => undefined },
-    rule: { most: 3, lifeMs: 60_000 },
-    isLeaving: (entry) => entry.leaving,
+    rule: { crashThreshold: 3, ttlMs: 60_000 },
+    isDraining: (entry) => entry.leaving,
     probe: (address) => {
       probes.push(address);
       return new Promise((resolve) => {
@@ -27,7 +27,10 @@
     },
   });
   const breaks = (name: string, isByReplica = true, entry = ENTRY) =>
-    watch.sendBroke(entry, { fingerprint: fingerprintOf(name), isByReplica });
+    watch.noteBrokenSend(entry, {
+      fingerprint: fingerprintOf(name),
+      endedByReplica: isByReplica,
+    });
   const crashed = () =>
     watch.all().records
       .map((record) => `${record.fingerprint} ${record.incarnation}`)
@@ -49,7 +52,7 @@
   const { time, watch, breaks, crashed } = start(() => "listens");
   breaks("one");
   await time.runTo(10);
-  watch.refused(ENTRY);
+  watch.noteRefused(ENTRY);
   assert.deepEqual(crashed(), []);
 });
 
@@ -68,7 +71,7 @@
     breaks("one");
     breaks("timed out", false);
     await time.runTo(13_000);
-    watch.gone(ENTRY);
+    watch.noteRemoved(ENTRY);
     assert.deepEqual(crashed(), ["one a", "timed out a"], result);
   }
 });
@@ -78,7 +81,7 @@
   const leaving = { ...ENTRY, leaving: true };
   breaks("one", true, leaving);
   await time.runTo(10);
-  watch.gone(leaving);
+  watch.noteRemoved(leaving);
   assert.deepEqual([probes.length, crashed()], [0, []]);
 });
 
@@ -87,7 +90,7 @@
   breaks("one");
   await time.runTo(10);
   const records = [{ fingerprint: "other", incarnation: "a", at: 8 }];
-  watch.take({ records, acquittals: [] }, "peer");
+  watch.merge({ records, clearances: [] }, "peer");
   assert.deepEqual(crashed(), ["one a", "other a"]);
 });
 
@@ -108,7 +111,7 @@
   const { time, watch, breaks } = start(() => "refused");
   const settled: string[] = [];
   const wait = (name: string, sends: number) =>
-    void watch.settled(fingerprintOf(name), sends)
+    void watch.awaitProbes(fingerprintOf(name), sends)
       .then(() => settled.push(`${name} ${sends} at ${time.now}`));
   breaks("one");
   wait("one", 1);
@@ -124,8 +127,8 @@
   for (let at = 0; at < 1000; at++) {
     breaks("r", true, replicaEntry(`b${at}`));
   }
-  watch.gone(replicaEntry("b0"));
+  watch.noteRemoved(replicaEntry("b0"));
   assert.deepEqual(crashed(), []);
-  watch.gone(replicaEntry("b999"));
+  watch.noteRemoved(replicaEntry("b999"));
   assert.deepEqual(crashed(), ["r b999"]);
 });
--- a/test/gateway/crashes/crashing_request_test.ts
+++ b/test/gateway/crashes/crashing_request_test.ts
@@ -8,10 +8,10 @@
 import { knownRed } from "../../known_red.ts";
 import {
   chunk,
-  chunkedHead,
+  chunkedHeaders,
+  completeResponse,
   type RawAnswer,
   type RawRequest,
-  whole,
 } from "../raw_replica.ts";
 import { ENGINE, type Rig, type RigReplica, withRig } from "../rig.ts";
 
@@ -29,9 +29,9 @@
     if (request.body !== CRASHING) {
       const isReserve = request.path === "/reserve";
       const body = isReserve ? '{"reservation":"r"}' : "answer";
-      return void socket.write(whole(request, body));
+      return void socket.write(completeResponse(request, body));
     }
-    socket.write(chunkedHead(request) + chunk("id: 0\n\n"), () => {
+    socket.write(chunkedHeaders(request) + chunk("id: 0\n\n"), () => {
       rigOf()?.replicas[at]?.stop();
     });
   };
@@ -89,7 +89,7 @@
 test(STREAM, knownRed(STREAM), async () => {
   let rig: Rig | undefined;
   const prefills: RawAnswer = (request, socket) => {
-    socket.write(whole(request, '{"export":"e"}'));
+    socket.write(completeResponse(request, '{"export":"e"}'));
   };
   await withRig({
     engine: ENGINE,
@@ -114,8 +114,10 @@
 test("truncated responses of healthy replicas don't quarantine a request", async () => {
   let truncated = 0;
   const truncatesSix: RawAnswer = (request, socket) => {
-    if (truncated++ >= 6) return void socket.write(whole(request, "answer"));
-    socket.end(chunkedHead(request) + chunk("part"));
+    if (truncated++ >= 6) {
+      return void socket.write(completeResponse(request, "answer"));
+    }
+    socket.end(chunkedHeaders(request) + chunk("part"));
   };
   await withRig({
     route: { kind: "unsafe" },
--- a/test/gateway/crashes/fingerprint_test.ts
+++ b/test/gateway/crashes/fingerprint_test.ts
@@ -5,7 +5,7 @@
   type FingerprintInput,
   fingerprintOf,
 } from "../../../src/gateway/crashes/fingerprint.ts";
-import { whole } from "../raw_replica.ts";
+import { completeResponse } from "../raw_replica.ts";
 import { withRig } from "../rig.ts";
 
 const REQUEST: FingerprintInput = {
@@ -36,7 +36,7 @@
     route: { kind: "unsafe" },
     replicas: [{
       answer: (request, socket) => {
-        socket.end(whole(request, "answer").slice(0, -1));
+        socket.end(completeResponse(request, "answer").slice(0, -1));
       },
     }],
   }, async (rig) => {
--- a/test/gateway/customers/keys_test.ts
+++ b/test/gateway/customers/keys_test.ts
@@ -7,16 +7,16 @@
   type RouteConfig,
   RouteKind,
 } from "../../../src/gateway/mod.ts";
-import type { QuotaTake } from "../../../src/gateway/quota/ledger.ts";
+import type { QuotaRequest } from "../../../src/gateway/quota/ledger.ts";
 import type { QuotaOutcome } from "../../../src/gateway/quota/member.ts";
-import { type RawAnswer, whole } from "../raw_replica.ts";
+import { completeResponse, type RawAnswer } from "../raw_replica.ts";
 import { type Rig, withRig } from "../rig.ts";
 
 const ALPHA: Customer = { name: "alpha", keyDigests: ["digest of a-key"] };
 const BETA: Customer = { name: "beta", keyDigests: ["digest of b-key"] };
 const customers = [ALPHA, BETA];
 const answer: RawAnswer = (request, socket) => {
-  socket.write(whole(request, "ok"));
+  socket.write(completeResponse(request, "ok"));
 };
 const replicas = [{ answer }];
 
@@ -157,18 +157,18 @@
 
 /** Returns `outcome` for each request, or grants it; records all requests. */
 function fakeOwner(outcome: QuotaOutcome | undefined) {
-  const requested: QuotaTake[] = [];
+  const requested: QuotaRequest[] = [];
   const released: [string, number][] = [];
-  const granted = ({ customer, units }: QuotaTake): QuotaOutcome => ({
+  const granted = ({ customer, units }: QuotaRequest): QuotaOutcome => ({
     type: "granted",
     afterMs: 0,
-    giveBack: () => released.push([customer, units]),
+    release: () => released.push([customer, units]),
   });
   return {
     requested,
     released,
     quotas: {
-      take: (request: QuotaTake) => {
+      acquire: (request: QuotaRequest) => {
         requested.push(request);
         return Promise.resolve(outcome ?? granted(request));
       },
@@ -228,7 +228,7 @@
   const { released, quotas } = fakeOwner(undefined);
   let isRejecting = false;
   const answerOrReject: RawAnswer = (request, socket) => {
-    if (!isRejecting) return void socket.write(whole(request, "ok"));
+    if (!isRejecting) return void socket.write(completeResponse(request, "ok"));
     const lines = ["HTTP/1.1 503 Full", "x-not-run: 1", "content-length: 0"];
     lines.push(`x-id: ${request.headers.get("x-id")}`);
     socket.write(`${lines.join("\r\n")}\r\n\r\n`);
--- a/test/gateway/dialect.ts
+++ b/test/gateway/dialect.ts
@@ -1,7 +1,7 @@
 /** A dialect for tests; no platform uses its header names. */
 import {
   type BackoffHeader,
-  type CallHead,
+  type CallMetadata,
   CallMode,
   type Dialect,
   type LimitHeader,
@@ -19,7 +19,7 @@
     const key = headers["x-key"];
     return {
       ...(typeof id === "string" ? { id } : {}),
-      ...(patience === undefined ? {} : { patienceMs: Number(patience) }),
+      ...(patience === undefined ? {} : { timeoutMs: Number(patience) }),
       ...(typeof key === "string" ? { keyDigest: `digest of ${key}` } : {}),
       promptTokens: Number(tokens[0]) || 0,
       outputLimit: Number(tokens[1]) || 0,
@@ -78,7 +78,7 @@
   return { type: "unreadable", text: String(value) };
 }
 
-function gatewayHeaders(head: CallHead): string[] {
+function gatewayHeaders(head: CallMetadata): string[] {
   const headers = ["x-incarnation", head.replica];
   if (head.mode === CallMode.prefill) headers.push("x-mode", "prefill");
   if (head.customer) headers.push("x-customer", head.customer);
--- a/test/gateway/early_reload_test.ts
+++ b/test/gateway/early_reload_test.ts
@@ -1,10 +1,10 @@
 /** Guards against a SIGHUP ending the process while the program loads. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { keepReloads, onReload } from "../../src/gateway/early_reload.ts";
+import { deferReloads, onReload } from "../../src/gateway/early_reload.ts";
 
 test("early SIGHUPs cause one reload, later ones one reload each", () => {
-  keepReloads();
+  deferReloads();
   process.emit("SIGHUP");
   process.emit("SIGHUP");
   let count = 0;
--- a/test/gateway/limits/allowance_test.ts
+++ b/test/gateway/limits/allowance_test.ts
@@ -4,10 +4,10 @@
 import fc from "fast-check";
 import "../../fixed_seed.ts";
 import {
-  LEAST_PER_SECOND,
   limitAllowance,
+  MIN_PER_SECOND,
 } from "../../../src/gateway/limits/allowance.ts";
-import { mostAllowed } from "../../platform/rate_windows.ts";
+import { maxAllowed } from "../../platform/rate_windows.ts";
 
 const SPAN_MS = 4000;
 
@@ -23,7 +23,7 @@
     const { units, windowMs } = limitAllowance(perSecond, part);
     assert.ok(units >= 1 && Number.isInteger(units));
     const rate = units / windowMs * 1000;
-    const expected = Math.max(LEAST_PER_SECOND, perSecond) * part;
+    const expected = Math.max(MIN_PER_SECOND, perSecond) * part;
     assert.ok(Math.abs(rate - expected) <= expected * 1e-9);
   }));
 });
@@ -40,7 +40,7 @@
       const { units, windowMs } = limitAllowance(perSecond, size / hosts);
       return sum + (windowMs >= SPAN_MS ? units : units * SPAN_MS / windowMs);
     }, 0);
-    assert.ok(total <= mostAllowed(Math.max(LEAST_PER_SECOND, perSecond)));
+    assert.ok(total <= maxAllowed(Math.max(MIN_PER_SECOND, perSecond)));
   }));
 });
 
--- a/test/gateway/limits/limit_fleet.ts
+++ b/test/gateway/limits/limit_fleet.ts
@@ -2,9 +2,9 @@
 import type { LimitHeader } from "../../../src/gateway/mod.ts";
 import { Replica } from "../../../src/gateway/replicas/replica.ts";
 import {
-  LIMIT_SPAN_MS,
-  mostAllowed,
-  mostWithin,
+  LIMIT_WINDOW_MS,
+  maxAllowed,
+  maxWithin,
 } from "../../platform/rate_windows.ts";
 import { replicaEntry } from "../replica_entry.ts";
 import { type FleetHost, StateFleet } from "../state/state_fleet.ts";
@@ -46,7 +46,7 @@
       state = (Math.imul(state, 1664525) + 1013904223) >>> 0;
       return state / 2 ** 32;
     };
-    this.fleet.store.list(ENTRY);
+    this.fleet.store.putReplica(ENTRY);
     for (const host of this.fleet.hosts) this.#maintainLinks(host);
   }
 
@@ -97,13 +97,13 @@
     const violations: string[] = [];
     for (const { at } of this.arrivals) {
       if (at < namedAt + SETTLE_MS) continue;
-      const rates = this.#ratesIn(at - LIMIT_SPAN_MS - SETTLE_MS, at);
+      const rates = this.#ratesIn(at - LIMIT_WINDOW_MS - SETTLE_MS, at);
       if (rates.includes(undefined)) continue;
       const highest = Math.max(...rates.map((rate) => rate ?? 0));
-      const count = this.countIn(at - LIMIT_SPAN_MS, at + 0.001);
-      if (count <= mostAllowed(highest)) continue;
+      const count = this.countIn(at - LIMIT_WINDOW_MS, at + 0.001);
+      if (count <= maxAllowed(highest)) continue;
       violations.push(
-        `${count} requests, allowed ${mostAllowed(highest)}, at ${
+        `${count} requests, allowed ${maxAllowed(highest)}, at ${
           Math.round(at)
         } ms`,
       );
@@ -115,7 +115,7 @@
   mostWithin(spanMs: number, from: number, to: number): number {
     const times = this.arrivals.map((arrival) => arrival.at)
       .filter((at) => at >= from && at < to);
-    return mostWithin(times, spanMs);
+    return maxWithin(times, spanMs);
   }
 
   #ratesIn(from: number, to: number): (number | undefined)[] {
@@ -126,7 +126,7 @@
 
   #maintainLinks(host: FleetHost): void {
     host.context.clock.after(LINK_INTERVAL_MS, () => {
-      host.context.limits.link();
+      host.context.limits.maintainLinks();
       this.#maintainLinks(host);
     });
   }
@@ -158,7 +158,7 @@
         : { type: "limit", perSecond };
       const isLate = this.#random() < LATE_SHARE;
       const delayMs = isLate ? this.#random() * MAX_LATE_MS : NETWORK_MS;
-      clock.after(delayMs, () => limits.hear(incarnation, header, sentAt));
+      clock.after(delayMs, () => limits.observe(incarnation, header, sentAt));
     });
   }
 }
--- a/test/gateway/limits/limit_fleet_test.ts
+++ b/test/gateway/limits/limit_fleet_test.ts
@@ -5,7 +5,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { type RandomGenerator, xoroshiro128plus } from "pure-rand";
-import { draw } from "../../../src/util/chance.ts";
+import { randomInt } from "../../../src/util/random.ts";
 import { type LimitAt, LimitFleet } from "./limit_fleet.ts";
 
 const FORMED_MS = 10_000;
@@ -81,7 +81,7 @@
     fleet.at(
       atMs,
       () =>
-        fleet.fleet.cut((from, to) =>
+        fleet.fleet.partition((from, to) =>
           from !== to && (from === host || to === host)
         ),
     );
@@ -118,25 +118,27 @@
 function injectFaults(fleet: LimitFleet, random: RandomGenerator): void {
   const { fleet: { hosts } } = fleet;
   const injectFault = () => {
-    const [host] = hosts.slice(draw(random, hosts.length));
+    const [host] = hosts.slice(randomInt(random, hosts.length));
     if (!host) return;
-    switch (draw(random, 5)) {
+    switch (randomInt(random, 5)) {
       case 0:
-        return fleet.fleet.cut((from, to) => from.entry.hall !== to.entry.hall);
+        return fleet.fleet.partition((from, to) =>
+          from.entry.hall !== to.entry.hall
+        );
       case 1:
-        return fleet.fleet.cut((from, to) =>
+        return fleet.fleet.partition((from, to) =>
           from !== to && (from === host || to === host)
         );
       case 2:
-        return fleet.fleet.cut(() => false);
+        return fleet.fleet.partition(() => false);
       case 3:
-        return fleet.fleet.suspend(host, 200 + draw(random, 5000));
+        return fleet.fleet.suspend(host, 200 + randomInt(random, 5000));
       default:
         return fleet.loadAt(fleet.add(), 1, LAST_FAULT_MS);
     }
   };
   for (let at = FORMED_MS; at < LAST_FAULT_MS; at += 1500) {
-    fleet.at(at + draw(random, 1500), injectFault);
+    fleet.at(at + randomInt(random, 1500), injectFault);
   }
 }
 
@@ -146,13 +148,13 @@
     [];
   let at = NAMED_MS;
   while (at < LONG_END_MS) {
-    const hasEnded = draw(random, 4) === 0;
-    const rate = hasEnded ? undefined : RATES[draw(random, RATES.length)];
+    const hasEnded = randomInt(random, 4) === 0;
+    const rate = hasEnded ? undefined : RATES[randomInt(random, RATES.length)];
     changes.push({ at, rate });
     // Some changes last for less than a second.
-    at += draw(random, 3) === 0
-      ? 300 + draw(random, 700)
-      : 5000 + draw(random, 12_000);
+    at += randomInt(random, 3) === 0
+      ? 300 + randomInt(random, 700)
+      : 5000 + randomInt(random, 12_000);
   }
   return (time) => changes.findLast((change) => change.at <= time)?.rate;
 }
--- a/test/gateway/limits/limit_table_test.ts
+++ b/test/gateway/limits/limit_table_test.ts
@@ -16,7 +16,7 @@
 } {
   const table = new LimitTable();
   const observe = (header: LimitHeader, sentAt: number, now: number) =>
-    table.hear({ incarnation: "r", header, sentAt }, now) !== undefined;
+    table.observe({ incarnation: "r", header, sentAt }, now) !== undefined;
   return { table, observe };
 }
 
@@ -57,22 +57,22 @@
   const table = new LimitTable();
   const named = { incarnation: "r", perSecond: 1, at: 5000 };
   const ended = { incarnation: "r", at: 5500 };
-  assert.deepEqual(table.take([named]), [named]);
-  assert.deepEqual(table.take([named]), []);
+  assert.deepEqual(table.merge([named]), [named]);
+  assert.deepEqual(table.merge([named]), []);
   // With its time in transit it may be older than the limit.
-  assert.deepEqual(table.take([ended]), []);
+  assert.deepEqual(table.merge([ended]), []);
   assert.equal(table.limitOf("r"), 1);
   const later = { ...ended, at: 6500 };
-  assert.deepEqual(table.take([later]), [later]);
+  assert.deepEqual(table.merge([later]), [later]);
   // An older record of the limit arrives over another path.
-  assert.deepEqual(table.take([named]), []);
+  assert.deepEqual(table.merge([named]), []);
   assert.equal(table.limited, 0);
 });
 
 test("beyond the maximum number of replicas the oldest records are evicted", () => {
   const table = new LimitTable();
   for (let at = 0; at < 5000; at++) {
-    table.take([{ incarnation: `r${at}`, perSecond: 1, at }]);
+    table.merge([{ incarnation: `r${at}`, perSecond: 1, at }]);
   }
   assert.equal(table.all().length, 3000);
   assert.equal(table.limited, 3000);
--- a/test/gateway/limits/lone_limits.ts
+++ b/test/gateway/limits/single_host_limits.ts
@@ -6,7 +6,7 @@
 } from "../../../src/gateway/limits/replica_limits.ts";
 
 /** Creates the limits of a single host. */
-export function loneLimits(
+export function singleHostLimits(
   options: Partial<ReplicaLimitsOptions> = {},
 ): ReplicaLimits {
   return new ReplicaLimits({
--- a/test/gateway/never_suspended.ts
+++ b/test/gateway/never_suspended.ts
@@ -2,5 +2,5 @@
 
 /** A suspension watch, for tests, whose clocks never differ. */
 export function neverSuspended(): SuspensionWatch {
-  return new SuspensionWatch({ steadyNow: () => 0, dayNow: () => 0 });
+  return new SuspensionWatch({ monotonicNow: () => 0, wallClockNow: () => 0 });
 }
--- a/test/gateway/observe/observe_test.ts
+++ b/test/gateway/observe/observe_test.ts
@@ -82,7 +82,7 @@
   const metrics = new Metrics();
   metrics.count("requests", 3);
   metrics.time("whole", 250);
-  const lines = metrics.page({ open: 2 }).trim().split("\n");
+  const lines = metrics.render({ open: 2 }).trim().split("\n");
   const samples = lines.filter((line) => !line.startsWith("#"));
   for (const line of samples) {
     assert.match(line, /^otterhill_[a-z_]+(\{quantile="0\.\d+"\})? [\d.e+-]+$/);
--- a/test/gateway/peers/directory_test.ts
+++ b/test/gateway/peers/directory_test.ts
@@ -14,22 +14,22 @@
 
 test("entries() returns the same array as long as no host changes", () => {
   const directory = new HostDirectory(host("self"), []);
-  directory.learn([host("a"), host("bb")], 0);
+  directory.add([host("a"), host("bb")], 0);
   const before = directory.entries();
-  directory.learn([host("a"), host("bb")], 10);
+  directory.add([host("a"), host("bb")], 10);
   directory.refresh(20);
   assert.equal(directory.entries(), before);
-  directory.learn([host("a", "127.0.0.1:9")], 30);
+  directory.add([host("a", "127.0.0.1:9")], 30);
   assert.notEqual(directory.entries(), before);
   assert.equal(directory.entries()[0]?.address, "127.0.0.1:9");
 });
 
 test("hosts are removed when reported as gone, or when the store no longer lists them", () => {
   const directory = new HostDirectory(host("self"), []);
-  directory.learn([host("a"), host("bb"), host("ccc")], 0);
-  directory.forget(["bb"]);
+  directory.add([host("a"), host("bb"), host("ccc")], 0);
+  directory.remove(["bb"]);
   // Only the store's list removes expired hosts, not that of a peer.
-  directory.learn([host("a")], AFTER_TTL_MS);
+  directory.add([host("a")], AFTER_TTL_MS);
   assert.deepEqual(directory.entries().map((entry) => entry.id), ["a", "ccc"]);
   directory.addFromStore([host("a")], AFTER_TTL_MS);
   assert.deepEqual(directory.entries().map((entry) => entry.id), ["a"]);
@@ -39,7 +39,7 @@
   const directory = new HostDirectory(host("self"), []);
   const orders = new HostOrders("self");
   for (const id of ["a", "bb", "ccc", "dddd"]) {
-    directory.learn([host(id)], 0);
+    directory.add([host(id)], 0);
     const hosts = directory.entries();
     const ids = ["self", ...hosts.map((entry) => entry.id)];
     assert.deepEqual(orders.of("key", hosts), rendezvous("key", ids));
--- a/test/gateway/peers/host_rows_test.ts
+++ b/test/gateway/peers/host_rows_test.ts
@@ -13,13 +13,13 @@
 } from "../../../src/gateway/mod.ts";
 import { HostDirectory } from "../../../src/gateway/peers/directory.ts";
 import { liveHosts, readHosts } from "../../../src/gateway/peers/host_rows.ts";
-import type { PeerQuestions } from "../../../src/gateway/peers/peer_questions.ts";
+import type { PeerClient } from "../../../src/gateway/peers/peer_client.ts";
 import { startPeerLoops } from "../../../src/gateway/peers/peer_loop.ts";
 import { RouteTable } from "../../../src/gateway/routing/route_table.ts";
-import { quietWatch } from "../crashes/quiet_watch.ts";
+import { emptyCrashWatch } from "../crashes/empty_crash_watch.ts";
 import type { Synchronizer } from "../../../src/gateway/state/synchronizer.ts";
 import { neverSuspended } from "../never_suspended.ts";
-import { quietEras } from "../quiet_eras.ts";
+import { emptyStoreEras } from "../empty_store_eras.ts";
 
 function host(id: string, address = "127.0.0.1:1"): HostEntry {
   return { id, address, hall: "h" };
@@ -82,22 +82,22 @@
       },
       random: () => 0,
       routes: new RouteTable(),
-      crashes: quietWatch(),
-      eras: quietEras(),
+      crashes: emptyCrashWatch(),
+      eras: emptyStoreEras(),
       suspensions: neverSuspended(),
     } as unknown as GatewayContext,
     self,
     store,
-    questions: {} as PeerQuestions,
+    peerClient: {} as PeerClient,
     directory: new HostDirectory(self, []),
     synchronizer: {
-      isTold: () => true,
+      hasFreshReport: () => true,
       freshForMs: () => 1300,
       storeAgeMs: () => 0,
       isBehind: () => false,
     } as unknown as Synchronizer,
     followers: () => followers(time.now),
-    isNamedByReader: () => isNamedByReader(time.now),
+    isListedByReader: () => isNamedByReader(time.now),
   });
   const run = async (untilMs: number) => {
     for (; time.now < untilMs; time.now += 100) {
--- a/test/gateway/peers/peer_loop_test.ts
+++ b/test/gateway/peers/peer_loop_test.ts
@@ -4,13 +4,13 @@
 import type { GatewayContext } from "../../../src/gateway/context.ts";
 import type { Store } from "../../../src/gateway/mod.ts";
 import { HostDirectory } from "../../../src/gateway/peers/directory.ts";
-import type { PeerQuestions } from "../../../src/gateway/peers/peer_questions.ts";
+import type { PeerClient } from "../../../src/gateway/peers/peer_client.ts";
 import { startPeerLoops } from "../../../src/gateway/peers/peer_loop.ts";
 import { RouteTable } from "../../../src/gateway/routing/route_table.ts";
-import { quietWatch } from "../crashes/quiet_watch.ts";
+import { emptyCrashWatch } from "../crashes/empty_crash_watch.ts";
 import type { Synchronizer } from "../../../src/gateway/state/synchronizer.ts";
 import { neverSuspended } from "../never_suspended.ts";
-import { quietEras } from "../quiet_eras.ts";
+import { emptyStoreEras } from "../empty_store_eras.ts";
 
 /** The first delays of the loops while the store does not respond. */
 function firstDelays(routes: RouteTable): number[] {
@@ -25,17 +25,17 @@
     context: {
       clock: { now: () => 0, after },
       routes,
-      crashes: quietWatch(),
-      eras: quietEras(),
+      crashes: emptyCrashWatch(),
+      eras: emptyStoreEras(),
       suspensions: neverSuspended(),
     } as unknown as GatewayContext,
     self,
     store: { readRows: never, writeRow: never } as unknown as Store,
     directory: new HostDirectory(self, []),
     synchronizer: { freshForMs: () => 0 } as unknown as Synchronizer,
-    questions: { ask: never } as unknown as PeerQuestions,
+    peerClient: { request: never } as unknown as PeerClient,
     followers: () => [],
-    isNamedByReader: () => false,
+    isListedByReader: () => false,
   });
   return delays;
 }
--- a/test/gateway/planning/limits_test.ts
+++ b/test/gateway/planning/limits_test.ts
@@ -1,11 +1,11 @@
 /** Planning for replicas with a rate limit. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { RequestPacer } from "../../../src/gateway/planning/limit_pace.ts";
+import { RequestPacer } from "../../../src/gateway/planning/request_pacer.ts";
 import {
   AssignmentStage,
-  type PlanAsk,
   type PlannerMessage,
+  type PlanRequest,
 } from "../../../src/gateway/planning/messages.ts";
 import { Planner } from "../../../src/gateway/planning/planner.ts";
 import { RateShare } from "../../../src/gateway/planning/rate_share.ts";
@@ -26,7 +26,10 @@
   });
 }
 
-function plainRequest(id: string, overrides: Partial<PlanAsk> = {}): PlanAsk {
+function plainRequest(
+  id: string,
+  overrides: Partial<PlanRequest> = {},
+): PlanRequest {
   return planRequest(id, { ...PLAIN, ...overrides });
 }
 
@@ -50,8 +53,8 @@
     readonly intervalMs: number;
     readonly priorityOf: (index: number) => number;
   },
-): { readonly granted: PlanAsk[]; readonly refused: number[] } {
-  const granted: PlanAsk[] = [];
+): { readonly granted: PlanRequest[]; readonly refused: number[] } {
+  const granted: PlanRequest[] = [];
   const refused: number[] = [];
   for (let index = 0; index * intervalMs < spanMs; index++) {
     const now = index * intervalMs;
--- a/test/gateway/planning/plain_choice_test.ts
+++ b/test/gateway/planning/plain_choice_test.ts
@@ -2,7 +2,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { ReplicaEntry } from "../../../src/gateway/mod.ts";
-import type { PlanAsk } from "../../../src/gateway/planning/messages.ts";
+import type { PlanRequest } from "../../../src/gateway/planning/messages.ts";
 import { Planner } from "../../../src/gateway/planning/planner.ts";
 import type { PlannerView } from "../../../src/gateway/planning/view.ts";
 import { grantedIds, messages, planRequest, view } from "./planner_rig.ts";
@@ -30,7 +30,10 @@
   });
 }
 
-function plainRequest(id: string, overrides: Partial<PlanAsk> = {}): PlanAsk {
+function plainRequest(
+  id: string,
+  overrides: Partial<PlanRequest> = {},
+): PlanRequest {
   return planRequest(id, {
     tokens: 1,
     promptTokens: 0,
--- a/test/gateway/planning/planner_rig.ts
+++ b/test/gateway/planning/planner_rig.ts
@@ -1,8 +1,8 @@
 /** Fixtures for tests of the planner. */
 import { type ReplicaEntry, ReplicaStage } from "../../../src/gateway/mod.ts";
 import type {
-  PlanAsk,
   PlannerMessage,
+  PlanRequest,
 } from "../../../src/gateway/planning/messages.ts";
 import type { Planner } from "../../../src/gateway/planning/planner.ts";
 import type { PlannerView } from "../../../src/gateway/planning/view.ts";
@@ -34,7 +34,7 @@
     noteTry: () => undefined,
     noteSuccess: () => undefined,
     random: () => 0,
-    farCharge: 0.1,
+    remoteHallPenalty: 0.1,
     ...overrides,
   };
 }
@@ -42,8 +42,8 @@
 /** A request that can wait. */
 export function planRequest(
   id: string,
-  overrides: Partial<PlanAsk> = {},
-): PlanAsk {
+  overrides: Partial<PlanRequest> = {},
+): PlanRequest {
   return {
     type: "ask",
     id,
--- a/test/gateway/quota/quota_fleet.ts
+++ b/test/gateway/quota/quota_fleet.ts
@@ -116,7 +116,7 @@
     this.at(at, () => {
       const host = this.hosts[options.host % this.hosts.length];
       if (!host?.isUp) return;
-      void host.member.take({
+      void host.member.acquire({
         customer,
         units,
         rate: { perSecond, burst: perSecond },
@@ -201,16 +201,16 @@
       clock,
       run: `${id} ${this.#time.now}`,
       allowance: quotaRule(() => BOUNDS),
-      memoryMs: () => BOUNDS.windowMs,
+      retentionMs: () => BOUNDS.windowMs,
       knownHosts: () => this.#entries.length,
     });
     const others = this.#entries.filter((entry) => entry.id !== id);
     const member = new QuotaMember({
       self: { id, hall: `hall-${Number(id.slice(1)) % 3}` },
       clock,
-      own: owner,
+      localOwner: owner,
       hosts: () => others,
-      memoryMs: () => BOUNDS.windowMs,
+      retentionMs: () => BOUNDS.windowMs,
       path: LinkPath.quota,
       noteLost: () => undefined,
       openLink: ({ address }, events) => this.#open(id, address, events),
--- a/test/gateway/quota/quota_member_test.ts
+++ b/test/gateway/quota/quota_member_test.ts
@@ -19,15 +19,15 @@
     clock: systemClock,
     run: "own",
     allowance: quotaRule(() => BOUNDS),
-    memoryMs: () => BOUNDS.windowMs,
+    retentionMs: () => BOUNDS.windowMs,
     knownHosts: () => 1,
   });
   const member = new QuotaMember({
     self: { id: "self", hall: "h" },
     clock: { ...systemClock, now: () => 20_000 },
-    own: localOwner,
+    localOwner: localOwner,
     hosts: () => hosts,
-    memoryMs: () => BOUNDS.windowMs,
+    retentionMs: () => BOUNDS.windowMs,
     path: LinkPath.quota,
     noteLost: () => undefined,
     openLink: ({ address }, events) => {
@@ -52,7 +52,7 @@
   const { member, links, join } = start();
   member.refresh();
   for (let index = 0; index < 40; index++) {
-    const outcome = await member.take({
+    const outcome = await member.acquire({
       customer: `c${index}`,
       units: 1,
       rate: { perSecond: 1e9, burst: 1e9 },
--- a/test/gateway/quota/quota_test.ts
+++ b/test/gateway/quota/quota_test.ts
@@ -121,7 +121,7 @@
   const all = fleet.request(START_MS, { ...options, units });
   const more = fleet.request(START_MS + 10, { ...options, units: 500 });
   fleet.at(START_MS + 20, () => {
-    if (all.outcome?.type === "granted") all.outcome.giveBack();
+    if (all.outcome?.type === "granted") all.outcome.release();
   });
   const again = fleet.request(START_MS + 30, { ...options, units: 500 });
   await fleet.runTo(START_MS + 100);
--- a/test/gateway/raw_replica.ts
+++ b/test/gateway/raw_replica.ts
@@ -90,7 +90,7 @@
 }
 
 /** A complete response with `Content-Length`. */
-export function whole(
+export function completeResponse(
   request: RawRequest,
   body: string,
   extra: readonly string[] = [],
@@ -106,7 +106,7 @@
 }
 
 /** The status line and headers of a chunked response. */
-export function chunkedHead(
+export function chunkedHeaders(
   request: RawRequest,
   extra: readonly string[] = [],
 ): string {
--- a/test/gateway/replicas/leaving_fleet_test.ts
+++ b/test/gateway/replicas/draining_fleet_test.ts
@@ -19,20 +19,23 @@
 } as const;
 
 const openReplicasAt = ({ context: { replicas } }: FleetHost) =>
-  replicas.openOf("s").map(({ entry }) => entry.incarnation).sort().join();
+  replicas.openReplicasOf("s").map(({ entry }) => entry.incarnation).sort()
+    .join();
 
 /** A formed fleet with replicas "a" and "b", after the store became unreachable. */
 async function formedFleet(size: number, seed: number): Promise<StateFleet> {
   const fleet = new StateFleet(size, seed);
-  for (const id of ["a", "b"]) fleet.store.list(replicaEntry(id));
+  for (const id of ["a", "b"]) fleet.store.putReplica(replicaEntry(id));
   await fleet.runTo(FORMED_MS + seed * 97);
-  for (const { entry } of fleet.hosts) fleet.store.treat(entry.id, "silent");
+  for (const { entry } of fleet.hosts) {
+    fleet.store.setTreatment(entry.id, "silent");
+  }
   await fleet.runTo(fleet.now + 500);
   return fleet;
 }
 
 function observeLeaving(host: FleetHost | undefined): void {
-  host?.context.gate.hear("a", NOTICE, { sentAt: 0, request: "r" });
+  host?.context.gate.observe("a", NOTICE, { sentAt: 0, request: "r" });
 }
 
 for (const size of [3, 9, 88]) {
@@ -51,14 +54,14 @@
   const { store, hosts } = fleet;
   observeLeaving(hosts[4]);
   await fleet.runTo(fleet.now + PROPAGATED_MS);
-  for (const { entry } of hosts) store.treat(entry.id, "served");
-  store.list({ ...replicaEntry("a"), coldMs: 1 });
+  for (const { entry } of hosts) store.setTreatment(entry.id, "served");
+  store.putReplica({ ...replicaEntry("a"), coldMs: 1 });
   await fleet.runTo(fleet.now + RELINKED_MS);
   for (const host of hosts) assert.equal(openReplicasAt(host), "b");
   // The entry is removed, then listed again.
-  store.unlist("a");
+  store.deleteReplica("a");
   await fleet.runTo(fleet.now + RELINKED_MS);
-  store.list(replicaEntry("a"));
+  store.putReplica(replicaEntry("a"));
   const added = fleet.add();
   await fleet.runTo(fleet.now + RELINKED_MS);
   for (const host of [...hosts, added]) assert.equal(openReplicasAt(host), "b");
@@ -68,11 +71,11 @@
   const fleet = await formedFleet(9, 2);
   const { hosts } = fleet;
   const isCutOff = (host: FleetHost) => host.entry.hall === "hall-1";
-  fleet.cut((from, to) => isCutOff(from) !== isCutOff(to));
+  fleet.partition((from, to) => isCutOff(from) !== isCutOff(to));
   await fleet.runTo(fleet.now + 2000);
   observeLeaving(hosts.find((host) => !isCutOff(host)));
   await fleet.runTo(fleet.now + PROPAGATED_MS);
-  fleet.cut(() => false);
+  fleet.partition(() => false);
   await fleet.runTo(fleet.now + RELINKED_MS);
   for (const host of hosts) assert.equal(openReplicasAt(host), "b");
 });
@@ -82,8 +85,8 @@
   const { store, hosts } = fleet;
   observeLeaving(hosts[0]);
   await fleet.runTo(fleet.now + PROPAGATED_MS);
-  for (const { entry } of hosts) store.treat(entry.id, "served");
-  store.list({ ...replicaEntry("a"), born: 2, incarnation: "a@2" });
+  for (const { entry } of hosts) store.setTreatment(entry.id, "served");
+  store.putReplica({ ...replicaEntry("a"), born: 2, incarnation: "a@2" });
   await fleet.runTo(fleet.now + RELINKED_MS);
   for (const host of hosts) assert.equal(openReplicasAt(host), "a@2,b");
 });
--- a/test/gateway/replicas/listing_history_test.ts
+++ b/test/gateway/replicas/listing_history_test.ts
@@ -43,8 +43,8 @@
       // The follower may have read the store itself in between.
       if (read) follower.adopt({ revision, entries });
       if (!sent) continue;
-      const delta = reader.after(follower.revision);
-      if (delta) assert.notEqual(follower.follow(delta), "gap");
+      const delta = reader.deltaSince(follower.revision);
+      if (delta) assert.notEqual(follower.applyDelta(delta), "gap");
       assert.deepEqual(sortedEntries(follower), sortedEntries(reader));
     }
   }));
@@ -54,14 +54,14 @@
   const table = new ReplicaTable();
   table.adopt({ revision: 3, entries: [] });
   const delta = { since: 5, revision: 7, changed: [], gone: [], size: 0 };
-  assert.equal(table.follow(delta), "gap");
+  assert.equal(table.applyDelta(delta), "gap");
 });
 
 test("a delta that leads to a different number of replicas is a gap", () => {
   const table = new ReplicaTable();
   table.adopt({ revision: 3, entries: [entry("a", false)] });
   const delta = { since: 3, revision: 7, changed: [], gone: [], size: 2 };
-  assert.equal(table.follow(delta), "gap");
+  assert.equal(table.applyDelta(delta), "gap");
 });
 
 test("a delta older than the table is not applied", () => {
@@ -69,6 +69,6 @@
   table.adopt({ revision: 9, entries: [] });
   const changed = [entry("a", false)];
   const delta = { since: -1, revision: 7, changed, gone: [], size: 1 };
-  assert.equal(table.follow(delta), "older");
+  assert.equal(table.applyDelta(delta), "older");
   assert.deepEqual(table.entries(), []);
 });
--- a/test/gateway/replicas/replica_table_test.ts
+++ b/test/gateway/replicas/replica_table_test.ts
@@ -15,16 +15,16 @@
   const table = new ReplicaTable();
   table.adopt({ revision: 5, entries: [entry("a", true)] });
   assert.equal(table.adopt({ revision: 4, entries: [entry("a")] }), undefined);
-  assert.deepEqual(table.openOf("s"), []);
+  assert.deepEqual(table.openReplicasOf("s"), []);
 });
 
 test("a draining or removed replica accepts no new requests", () => {
   const table = new ReplicaTable();
   table.adopt({ revision: 1, entries: [entry("a"), entry("b")] });
-  const [a, b] = table.openOf("s");
+  const [a, b] = table.openReplicasOf("s");
   assert.ok(a && b);
   const change = table.adopt({ revision: 2, entries: [entry("a", true)] });
-  assert.deepEqual(change?.leaving.map((replica) => replica.incarnation), [
+  assert.deepEqual(change?.draining.map((replica) => replica.incarnation), [
     "a",
   ]);
   assert.deepEqual(change?.removed.map((replica) => replica.incarnation), [
@@ -39,36 +39,36 @@
   table.adopt({ revision: 1, entries: [entry("a")] });
   table.get("a")?.noteFailure(0, true);
   table.adopt({ revision: 2, entries: [entry("a")] });
-  assert.equal(table.get("a")?.paused(1), true);
+  assert.equal(table.get("a")?.isPaused(1), true);
   table.adopt({ revision: 3, entries: [entry("b")] });
-  assert.equal(table.get("b")?.paused(1), false);
+  assert.equal(table.get("b")?.isPaused(1), false);
 });
 
 test("pauses grow with consecutive failures and end with a success", () => {
   const replica = new Replica(entry("a"));
   replica.noteFailure(0, false);
-  assert.equal(replica.paused(1), false);
+  assert.equal(replica.isPaused(1), false);
   replica.noteFailure(0, false);
-  assert.equal(replica.paused(399), true);
-  assert.equal(replica.paused(400), false);
+  assert.equal(replica.isPaused(399), true);
+  assert.equal(replica.isPaused(400), false);
   replica.noteFailure(400, false);
-  assert.equal(replica.paused(1199), true);
+  assert.equal(replica.isPaused(1199), true);
   replica.noteSuccess();
-  assert.equal(replica.paused(401), false);
+  assert.equal(replica.isPaused(401), false);
 });
 
 test("a replica that failed gets one trial call at a time", () => {
   const replica = new Replica(entry("a"));
-  replica.noteTry(0);
-  assert.equal(replica.paused(1), false);
+  replica.noteTrial(0);
+  assert.equal(replica.isPaused(1), false);
   replica.noteFailure(0, true);
-  assert.equal(replica.paused(400), false);
-  replica.noteTry(400);
-  assert.equal(replica.paused(401), true);
-  assert.equal(replica.paused(900), false);
-  replica.noteTry(900);
+  assert.equal(replica.isPaused(400), false);
+  replica.noteTrial(400);
+  assert.equal(replica.isPaused(401), true);
+  assert.equal(replica.isPaused(900), false);
+  replica.noteTrial(900);
   replica.noteSuccess();
-  assert.equal(replica.paused(901), false);
+  assert.equal(replica.isPaused(901), false);
 });
 
 test("missing replicas are kept only with keepMissing", () => {
@@ -81,16 +81,16 @@
   assert.deepEqual(change?.removed.map((replica) => replica.incarnation), [
     "b",
   ]);
-  assert.equal(table.openOf("s").length, 1);
+  assert.equal(table.openReplicasOf("s").length, 1);
   table.adopt({ revision: 3, entries: [] });
-  assert.deepEqual(table.openOf("s"), []);
+  assert.deepEqual(table.openReplicasOf("s"), []);
 });
 
 test("a draining replica stays draining when it is listed as ready again", () => {
   const table = new ReplicaTable();
   table.adopt({ revision: 1, entries: [entry("a", true)] });
   table.adopt({ revision: 2, entries: [entry("a")] });
-  assert.deepEqual(table.openOf("s"), []);
+  assert.deepEqual(table.openReplicasOf("s"), []);
 });
 
 function startedEntry(born: number, leaving = false): ReplicaEntry {
@@ -110,15 +110,18 @@
     "a@1",
   ]);
   assert.equal(table.get("a@1"), undefined);
-  assert.equal(table.get("a@2")?.paused(1), false);
-  assert.equal(table.openOf("s").length, 1);
+  assert.equal(table.get("a@2")?.isPaused(1), false);
+  assert.equal(table.openReplicasOf("s").length, 1);
 });
 
 test("a late entry of an earlier start does not replace the later one", () => {
   const table = new ReplicaTable();
   table.adopt({ revision: 1, entries: [startedEntry(2)] });
   table.adopt({ revision: 2, entries: [startedEntry(1, true)] });
-  assert.deepEqual(table.openOf("s").map((replica) => replica.entry.born), [2]);
+  assert.deepEqual(
+    table.openReplicasOf("s").map((replica) => replica.entry.born),
+    [2],
+  );
 });
 
 test("with keepMissing, the predecessor of a restarted replica is not kept", () => {
@@ -137,24 +140,24 @@
   reader.adopt({ revision: 1, entries: [startedEntry(1)] });
   follower.adopt({ revision: 1, entries: [startedEntry(1)] });
   reader.adopt({ revision: 2, entries: [startedEntry(2)] });
-  const delta = reader.after(1);
+  const delta = reader.deltaSince(1);
   assert.deepEqual(delta?.gone, []);
-  assert.ok(delta && follower.follow(delta) !== "gap");
+  assert.ok(delta && follower.applyDelta(delta) !== "gap");
   assert.deepEqual(follower.entries(), reader.entries());
 });
 
 test("a table with kept replicas needs a full listing", () => {
   const table = new ReplicaTable();
   table.adopt({ revision: 1, entries: [entry("a"), entry("b")] });
-  assert.equal(table.base, 1);
+  assert.equal(table.deltaBase, 1);
   table.adopt({ revision: 2, entries: [entry("a")] }, { keepMissing: true });
-  assert.equal(table.base, -1);
+  assert.equal(table.deltaBase, -1);
   // The number of replicas matches, their ids don't.
   const delta = { since: 2, revision: 3, changed: [], gone: [], size: 2 };
-  assert.equal(table.follow(delta), "gap");
+  assert.equal(table.applyDelta(delta), "gap");
   const full = { ...delta, since: -1, changed: [entry("a"), entry("c")] };
-  assert.notEqual(table.follow(full), "gap");
-  assert.equal(table.base, 3);
+  assert.notEqual(table.applyDelta(full), "gap");
+  assert.equal(table.deltaBase, 3);
   assert.equal(table.get("b"), undefined);
 });
 
@@ -163,14 +166,14 @@
   table.adopt({ revision: positionOf(1, 5), entries: [entry("a")] });
   table.adopt({ revision: positionOf(1, 6), entries: [] });
   const restored = { revision: positionOf(2, 5), entries: [entry("a")] };
-  table.adopt(restored, { leaveOutGone: true });
+  table.adopt(restored, { excludeRemoved: true });
   assert.equal(table.get("a"), undefined);
   table.adopt({ ...restored, revision: positionOf(2, 6) });
   assert.ok(table.get("a"));
   // A replica that was removed and listed again in the same era is valid.
   table.adopt({ revision: positionOf(2, 7), entries: [] });
   table.adopt({ ...restored, revision: positionOf(2, 8) }, {
-    leaveOutGone: true,
+    excludeRemoved: true,
   });
   assert.ok(table.get("a"));
 });
--- a/test/gateway/requests/answers_test.ts
+++ b/test/gateway/requests/answers_test.ts
@@ -2,7 +2,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { RouteKind } from "../../../src/gateway/mod.ts";
-import { chunk, chunkedHead, whole } from "../raw_replica.ts";
+import { chunk, chunkedHeaders, completeResponse } from "../raw_replica.ts";
 import type { RawAnswer } from "../raw_replica.ts";
 import { withRig } from "../rig.ts";
 
@@ -10,13 +10,13 @@
 const AFTER_READ_MS = 50;
 
 const healthy: RawAnswer = (request, socket) => {
-  socket.write(whole(request, "whole"));
+  socket.write(completeResponse(request, "whole"));
 };
 
 test("a response is forwarded unchanged, without hop-by-hop headers", async () => {
   const answer: RawAnswer = (request, socket) => {
     socket.write(
-      whole(request, "body", ["X-Seal: s", "Keep-Alive: timeout=9"]),
+      completeResponse(request, "body", ["X-Seal: s", "Keep-Alive: timeout=9"]),
     );
   };
   await withRig({ replicas: [{ answer }] }, async (rig) => {
@@ -31,7 +31,7 @@
 test("a Connection header cannot remove end-to-end headers", async () => {
   const answer: RawAnswer = (request, socket) => {
     const extra = ["X-Seal: s", "X-Hop: h", "Connection: X-Seal, X-Hop"];
-    socket.write(whole(request, "body", extra));
+    socket.write(completeResponse(request, "body", extra));
   };
   await withRig({ replicas: [{ answer }] }, async (rig) => {
     const headers = { connection: "x-id, x-hop", "x-hop": "h" };
@@ -88,7 +88,7 @@
 
 test("an interrupted response on a safe route is retried at another replica", async () => {
   const interrupts: RawAnswer = (request, socket) => {
-    socket.end(whole(request, "whole").slice(0, -2));
+    socket.end(completeResponse(request, "whole").slice(0, -2));
   };
   const replicas = [{ answer: interrupts }, { answer: healthy }];
   await withRig({ replicas }, async (rig) => {
@@ -99,7 +99,7 @@
 
 test("a plain replica that interrupted a response does not receive the retry", async () => {
   const interrupts: RawAnswer = (request, socket) => {
-    socket.end(whole(request, "whole").slice(0, -2));
+    socket.end(completeResponse(request, "whole").slice(0, -2));
   };
   const route = { attempts: 4 };
   const replicas = [{ answer: interrupts }, { answer: interrupts }];
@@ -113,15 +113,15 @@
 test("a response continues after its replica is removed from the listing", async () => {
   let finish = () => {};
   const slow: RawAnswer = (request, socket) => {
-    const text = whole(request, "whole");
+    const text = completeResponse(request, "whole");
     socket.write(text.slice(0, -2));
     finish = () => socket.write(text.slice(-2));
   };
   await withRig({ replicas: [{ answer: slow }] }, async (rig) => {
     const response = rig.call();
-    await rig.arrived(1);
+    await rig.waitForRequests(1);
     rig.context.replicas.adopt({ revision: 2, entries: [] });
-    rig.context.pool.forget("r0");
+    rig.context.pool.removeReplica("r0");
     finish();
     assert.equal((await response).body, "whole");
   });
@@ -130,11 +130,13 @@
 test("a surplus response is not treated as the response to the next request", async () => {
   const surplus: RawAnswer = (request, socket) => {
     if (request.number === 1) {
-      socket.write(whole(request, "first"));
+      socket.write(completeResponse(request, "first"));
       return;
     }
     const otherHeaders = new Map(request.headers).set("x-id", "1");
-    socket.write(whole({ ...request, headers: otherHeaders }, "surplus"));
+    socket.write(
+      completeResponse({ ...request, headers: otherHeaders }, "surplus"),
+    );
   };
   const route = { kind: RouteKind.unsafe, attempts: 1 };
   await withRig({ route, replicas: [{ answer: surplus }] }, async (rig) => {
@@ -199,14 +201,14 @@
   const first: RawAnswer = (request, socket) => {
     const events = "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda";
     socket.write(
-      chunkedHead(request) + chunk(events),
+      chunkedHeaders(request) + chunk(events),
       () => setImmediate(() => socket.destroy()),
     );
   };
   const second: RawAnswer = (request, socket) => {
     assert.equal(request.headers.get("last-event-id"), "2");
     const events = "id: 3\ndata: c\n\n";
-    socket.write(chunkedHead(request) + chunk(events) + chunk(""));
+    socket.write(chunkedHeaders(request) + chunk(events) + chunk(""));
   };
   const route = { kind: RouteKind.streaming, resumable: true };
   const replicas = [{ answer: first }, { answer: second }];
--- a/test/gateway/requests/backoff_engine_test.ts
+++ b/test/gateway/requests/backoff_engine_test.ts
@@ -4,10 +4,10 @@
 import { ReplicaStage } from "../../../src/gateway/mod.ts";
 import {
   chunk,
-  chunkedHead,
+  chunkedHeaders,
+  completeResponse,
   type RawAnswer,
   type RawRequest,
-  whole,
 } from "../raw_replica.ts";
 import { ENGINE, withRig } from "../rig.ts";
 import {
@@ -25,7 +25,7 @@
 
 test("a stream is not resumed at a replica that backs off", async () => {
   const interrupts: RawAnswer = answersEngineCalls((request, socket) => {
-    socket.end(chunkedHead(request) + chunk("id: 0\n\n"));
+    socket.end(chunkedHeaders(request) + chunk("id: 0\n\n"));
   });
   await withRig({
     engine: ENGINE,
@@ -110,7 +110,7 @@
     rejectsWithBackoff(200)(request, socket);
   };
   const full: RawAnswer = (request, socket) => {
-    socket.write(whole(request, "{}").replace("200 OK", "503 Full"));
+    socket.write(completeResponse(request, "{}").replace("200 OK", "503 Full"));
   };
   await withRig({
     engine: ENGINE,
@@ -129,9 +129,9 @@
   let count = 0;
   const breaksOnce: RawAnswer = (request, socket) => {
     count += 1;
-    if (count === 1) socket.end(chunkedHead(request) + chunk("id: 0\n\n"));
+    if (count === 1) socket.end(chunkedHeaders(request) + chunk("id: 0\n\n"));
     else if (count === 2) rejectsWithBackoff(200)(request, socket);
-    else socket.write(whole(request, "id: 1\n\n"));
+    else socket.write(completeResponse(request, "id: 1\n\n"));
   };
   await withRig({
     engine: ENGINE,
@@ -160,7 +160,7 @@
     if (request.number !== 3) healthy(request, socket);
   };
   const full: RawAnswer = (request, socket) => {
-    socket.write(whole(request, "{}").replace("200 OK", "503 Full"));
+    socket.write(completeResponse(request, "{}").replace("200 OK", "503 Full"));
   };
   await withRig({
     engine: ENGINE,
@@ -172,7 +172,7 @@
   }, async (rig) => {
     void rig.call({ id: "hangs", method: "POST", headers: STREAM })
       .catch(() => undefined);
-    await rig.arrived(3);
+    await rig.waitForRequests(3);
     const next = { id: "next", method: "POST", headers: STREAM };
     assert.equal((await rig.call(next)).status, 200);
   });
--- a/test/gateway/requests/backoff_test.ts
+++ b/test/gateway/requests/backoff_test.ts
@@ -1,7 +1,7 @@
 /** Requests to plain replicas that ask the host to back off. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { type RawAnswer, whole } from "../raw_replica.ts";
+import { completeResponse, type RawAnswer } from "../raw_replica.ts";
 import { withRig } from "../rig.ts";
 import {
   assertBacksOff,
@@ -90,7 +90,7 @@
 
 test("a retry is not sent to a replica that backs off", async () => {
   const fails: RawAnswer = (request, socket) => {
-    const text = whole(request, "x").replace("200 OK", "500 Failed");
+    const text = completeResponse(request, "x").replace("200 OK", "500 Failed");
     socket.write(text);
   };
   const replicas = [{ answer: rejectsWithBackoff(LONG_BACKOFF_MS) }, {
@@ -118,7 +118,7 @@
     assert.deepEqual(await statuses(rig, 1), [200]);
     time += 2000;
     const tries = rig.call({ id: "tries" });
-    await rig.arrived(3);
+    await rig.waitForRequests(3);
     const others = await Promise.all(
       Array.from({ length: 8 }, (_, at) => rig.call({ id: `other${at}` })),
     );
--- a/test/gateway/requests/caller_gone_test.ts
+++ b/test/gateway/requests/caller_disconnected_test.ts
@@ -12,12 +12,12 @@
 } from "../../../src/gateway/mod.ts";
 import {
   chunk,
-  chunkedHead,
+  chunkedHeaders,
+  completeResponse,
   type RawAnswer,
   type RawRequest,
-  whole,
 } from "../raw_replica.ts";
-import { ENGINE, type Rig, type RigSource, withRig } from "../rig.ts";
+import { ENGINE, type Rig, type RigOptions, withRig } from "../rig.ts";
 
 const STREAM: Partial<Route> = { kind: RouteKind.streaming, attempts: 2 };
 
@@ -39,7 +39,7 @@
     if (hang === undefined) return answer(stage, request, socket);
     socket.on("close", () => closed(stage));
     if (hang === "hang") return;
-    socket.write(chunkedHead(request) + chunk("id: 1\ndata: a\n\n"));
+    socket.write(chunkedHeaders(request) + chunk("id: 1\ndata: a\n\n"));
   };
 }
 
@@ -55,7 +55,7 @@
     : stage === "prefill"
     ? '{"export":"e"}'
     : "id: 1\ndata: a\n\n";
-  socket.write(whole(request, body));
+  socket.write(completeResponse(request, body));
 }
 
 type Stage = {
@@ -72,7 +72,7 @@
     closedStages.add(stage);
     onClosed();
   });
-  const options: RigSource = {
+  const options: RigOptions = {
     route: STREAM,
     engine: ENGINE,
     replicas: [
@@ -87,7 +87,7 @@
     const response = rig.call({ method: "POST", body: "prompt" })
       .catch(() => undefined);
     await until(() => calls(rig).includes(at));
-    rig.leave();
+    rig.disconnectCaller();
     await response;
     if (at !== "reserve") {
       await new Promise<void>((resolve) => {
@@ -96,7 +96,7 @@
       });
     }
     await until(() => rig.events.some((event) => event.name === "callerGone"));
-    await until(() => rig.context.replicas.get("r1")?.calls === 0);
+    await until(() => rig.context.replicas.get("r1")?.activeCalls === 0);
     await settle();
     all = calls(rig);
   });
@@ -181,7 +181,7 @@
   const isClosed = new Promise<void>((resolve) => closed = resolve);
   const endless: RawAnswer = (request, socket) => {
     socket.on("close", () => closed());
-    socket.write(chunkedHead(request));
+    socket.write(chunkedHeaders(request));
     const event = chunk(`id: 1\ndata: ${"a".repeat(60_000)}\n\n`);
     const writeAll = () => {
       while (!socket.destroyed && socket.write(event));
@@ -195,7 +195,7 @@
     const socket = connect(Number(port), host);
     socket.pause();
     socket.write("GET /a/b HTTP/1.1\r\nHost: example\r\nx-id: 1\r\n\r\n");
-    await rig.arrived(1);
+    await rig.waitForRequests(1);
     await settle();
     socket.destroy();
     await isClosed;
--- a/test/gateway/requests/leaving_test.ts
+++ b/test/gateway/requests/draining_test.ts
@@ -3,7 +3,12 @@
 import { test } from "node:test";
 import { ReplicaStage } from "../../../src/gateway/mod.ts";
 import { connectionShare } from "../../../src/gateway/requests/sender.ts";
-import { chunk, chunkedHead, type RawAnswer, whole } from "../raw_replica.ts";
+import {
+  chunk,
+  chunkedHeaders,
+  completeResponse,
+  type RawAnswer,
+} from "../raw_replica.ts";
 import { ENGINE, withRig } from "../rig.ts";
 import {
   answersEngineCalls,
@@ -17,7 +22,7 @@
 const DRAINING = ["x-leaving: 1"];
 
 const drains: RawAnswer = answersEngineCalls((request, socket) => {
-  socket.write(whole(request, "answer", DRAINING));
+  socket.write(completeResponse(request, "answer", DRAINING));
 });
 
 test("a plain service uses the other replica while one drains", async () => {
@@ -48,7 +53,10 @@
 for (const status of ["404 Missing", "500 Failed", "503 Full"]) {
   test(`a response with status ${status} also closes its draining replica`, async () => {
     const fails: RawAnswer = (request, socket) => {
-      const text = whole(request, "x", DRAINING).replace("200 OK", status);
+      const text = completeResponse(request, "x", DRAINING).replace(
+        "200 OK",
+        status,
+      );
       socket.write(text);
     };
     const replicas = [{ answer: fails }, { answer: healthy }];
@@ -62,20 +70,23 @@
 
 test("notices from another replica at the address close no replica", async () => {
   const misdirected: RawAnswer = (request, socket) => {
-    const text = whole(request, "x", [...DRAINING, "x-backoff: 9000"]);
+    const text = completeResponse(request, "x", [
+      ...DRAINING,
+      "x-backoff: 9000",
+    ]);
     socket.write(text.replace("200 OK", "421 Misdirected"));
   };
   const replicas = [{ answer: misdirected }, { answer: healthy }];
   await withRig({ budget: BUDGET, replicas }, async (rig) => {
     assert.deepEqual(new Set(await statuses(rig, 4)), new Set([200]));
     const { replicas: listing } = rig.context;
-    assert.equal(listing.openOf("service").length, 2);
+    assert.equal(listing.openReplicasOf("service").length, 2);
   });
 });
 
 test("a late response to another request closes its draining replica", async () => {
   const answersOther: RawAnswer = (request, socket) => {
-    const text = whole(request, "x", DRAINING);
+    const text = completeResponse(request, "x", DRAINING);
     socket.write(text.replace(/x-id: .*\r\n/, "x-id: other\r\n"));
   };
   const replicas = [{ answer: answersOther }, { answer: healthy }];
@@ -89,7 +100,7 @@
 
 test("a stream is not resumed at a draining replica", async () => {
   const interrupts: RawAnswer = answersEngineCalls((request, socket) => {
-    socket.end(chunkedHead(request, DRAINING) + chunk("id: 0\n\n"));
+    socket.end(chunkedHeaders(request, DRAINING) + chunk("id: 0\n\n"));
   });
   await withRig({
     engine: ENGINE,
@@ -107,7 +118,7 @@
 
 test("a draining replica gets no further prefill", async () => {
   const prefills: RawAnswer = (request, socket) => {
-    socket.write(whole(request, '{"export":"e"}', DRAINING));
+    socket.write(completeResponse(request, '{"export":"e"}', DRAINING));
   };
   await withRig({
     engine: ENGINE,
@@ -127,7 +138,7 @@
   let startDraining: () => void = () => undefined;
   const prefills: RawAnswer = (request, socket) => {
     if (!isHostCall(request)) startDraining();
-    socket.write(whole(request, '{"export":"e"}'));
+    socket.write(completeResponse(request, '{"export":"e"}'));
   };
   await withRig({
     engine: ENGINE,
@@ -139,13 +150,13 @@
       { answer: prefills, stage: ReplicaStage.prefill },
     ],
   }, async (rig) => {
-    const { leaving } = rig.context;
+    const { draining: leaving } = rig.context;
     // Called after memory has been reserved at the decode replica.
     startDraining = () => {
       const at = rig.replicas.findIndex((replica) =>
         replica.requests.length > 0
       );
-      leaving.take([`r${at}`], undefined);
+      leaving.receive([`r${at}`], undefined);
       startDraining = () => undefined;
     };
     assert.deepEqual(await statuses(rig, 1, STREAM), [200]);
@@ -161,7 +172,7 @@
 
 test("an engine that announces draining in a reservation response gets no request", async () => {
   const reserves: RawAnswer = (request, socket) => {
-    socket.write(whole(request, '{"reservation":"r"}', DRAINING));
+    socket.write(completeResponse(request, '{"reservation":"r"}', DRAINING));
   };
   await withRig({
     engine: ENGINE,
@@ -189,8 +200,8 @@
       { length: share + 5 },
       (_, at) => rig.call({ id: `r${at}`, headers: { connection: "close" } }),
     );
-    await rig.arrived(share);
-    rig.context.leaving.take(["r0"], undefined);
+    await rig.waitForRequests(share);
+    rig.context.draining.receive(["r0"], undefined);
     for (const answer of pending) answer();
     const responses = await Promise.all(calls);
     assert.equal(
--- a/test/gateway/requests/event_edges_test.ts
+++ b/test/gateway/requests/event_splitter_test.ts
@@ -3,7 +3,7 @@
 import { test } from "node:test";
 import fc from "fast-check";
 import "../../fixed_seed.ts";
-import { EventSplitter } from "../../../src/gateway/requests/event_edges.ts";
+import { EventSplitter } from "../../../src/gateway/requests/event_splitter.ts";
 
 const EVENTS = ["id: 1\ndata: a\n\n", "id: 2\r\ndata: b\r\n\r\n", "id: 3\n\n"];
 
--- a/test/gateway/requests/limits_test.ts
+++ b/test/gateway/requests/limits_test.ts
@@ -4,10 +4,10 @@
 import { ReplicaStage } from "../../../src/gateway/mod.ts";
 import {
   chunk,
-  chunkedHead,
+  chunkedHeaders,
+  completeResponse,
   type RawAnswer,
   type RawRequest,
-  whole,
 } from "../raw_replica.ts";
 import { ENGINE, type Rig, withRig } from "../rig.ts";
 
@@ -19,15 +19,17 @@
 function answersWithLimit(limit: string): RawAnswer {
   return (request, socket) => {
     if (isReserve(request)) {
-      return void socket.write(whole(request, '{"reservation":"r"}'));
+      return void socket.write(
+        completeResponse(request, '{"reservation":"r"}'),
+      );
     }
-    socket.write(whole(request, "answer", [`x-limit: ${limit}`]));
+    socket.write(completeResponse(request, "answer", [`x-limit: ${limit}`]));
   };
 }
 
 const healthy: RawAnswer = (request, socket) => {
   const body = isReserve(request) ? '{"reservation":"r"}' : "answer";
-  socket.write(whole(request, body));
+  socket.write(completeResponse(request, body));
 };
 
 function isReserve({ path }: RawRequest): boolean {
@@ -79,7 +81,7 @@
 
 test("a retry is not sent to a replica at its limit", async () => {
   const fails: RawAnswer = (request, socket) => {
-    const text = whole(request, "x").replace("200 OK", "500 Failed");
+    const text = completeResponse(request, "x").replace("200 OK", "500 Failed");
     socket.write(text);
   };
   const replicas = [{ answer: answersWithLimit(NO_CAPACITY) }, {
@@ -98,8 +100,10 @@
   const interrupts20Times: RawAnswer = (request, socket) => {
     if (isReserve(request)) return healthy(request, socket);
     count += 1;
-    if (count > 20) return void socket.write(whole(request, "id: 1\n\n"));
-    socket.end(chunkedHead(request) + chunk("id: 0\n\n"));
+    if (count > 20) {
+      return void socket.write(completeResponse(request, "id: 1\n\n"));
+    }
+    socket.end(chunkedHeaders(request) + chunk("id: 0\n\n"));
   };
   await withRig({
     engine: ENGINE,
@@ -121,7 +125,7 @@
 test("a prefill replica at its limit gets no further prefill", async () => {
   const prefills: RawAnswer = (request, socket) => {
     const extra = [`x-limit: ${NO_CAPACITY}`];
-    socket.write(whole(request, '{"export":"e"}', extra));
+    socket.write(completeResponse(request, '{"export":"e"}', extra));
   };
   await withRig({
     engine: ENGINE,
@@ -160,21 +164,26 @@
 test("rejections because of a rate limit do not count as failures", async () => {
   const rejects: RawAnswer = (request, socket) => {
     const extra = ["x-not-run: 1", "x-limit: 50"];
-    socket.write(whole(request, "", extra).replace("200 OK", "503 Full"));
+    socket.write(
+      completeResponse(request, "", extra).replace("200 OK", "503 Full"),
+    );
   };
   const replicas = [{ answer: rejects }, { answer: healthy }];
   await withRig({ budget: BUDGET, replicas }, async (rig) => {
     assert.deepEqual(new Set(await statuses(rig, 20)), new Set([200]));
     const limited = rig.context.replicas.get("r0");
     assert.equal(limited?.failures, 0);
-    assert.equal(limited?.paused(rig.context.clock.now()), false);
+    assert.equal(limited?.isPaused(rig.context.clock.now()), false);
   });
 });
 
 test("a response to another request does not lift a limit", async () => {
   const answer: RawAnswer = (request, socket) => {
     if (request.number === 1) return answersWithLimit("50")(request, socket);
-    const text = whole(request, "x").replace(/x-id: .*\r\n/, "x-id: other\r\n");
+    const text = completeResponse(request, "x").replace(
+      /x-id: .*\r\n/,
+      "x-id: other\r\n",
+    );
     socket.write(text);
   };
   const route = { kind: "unsafe" } as const;
--- a/test/gateway/requests/notice_rig.ts
+++ b/test/gateway/requests/notice_rig.ts
@@ -1,6 +1,10 @@
 /** Raw replicas that send notices in their response headers. */
 import assert from "node:assert/strict";
-import { type RawAnswer, type RawRequest, whole } from "../raw_replica.ts";
+import {
+  completeResponse,
+  type RawAnswer,
+  type RawRequest,
+} from "../raw_replica.ts";
 import type { Rig } from "../rig.ts";
 
 /** Large enough that no test exhausts it. */
@@ -16,7 +20,7 @@
 export function answersEngineCalls(answer: RawAnswer): RawAnswer {
   return (request, socket) => {
     if (!isHostCall(request)) return answer(request, socket);
-    socket.write(whole(request, '{"reservation":"r"}'));
+    socket.write(completeResponse(request, '{"reservation":"r"}'));
   };
 }
 
@@ -26,7 +30,10 @@
   extra = ["x-not-run: 1"],
 ) {
   const answer: RawAnswer = (request, socket) => {
-    const text = whole(request, "", [...extra, `x-backoff: ${forMs}`]);
+    const text = completeResponse(request, "", [
+      ...extra,
+      `x-backoff: ${forMs}`,
+    ]);
     socket.write(text.replace("200 OK", "503 Full"));
   };
   return answer;
@@ -34,7 +41,7 @@
 
 /** Answers all calls with success. */
 export const healthy: RawAnswer = answersEngineCalls((request, socket) => {
-  socket.write(whole(request, "answer"));
+  socket.write(completeResponse(request, "answer"));
 });
 
 /** Counts the callers' requests that a replica received. */
@@ -63,5 +70,5 @@
   assert.ok(replica);
   assert.equal(context.gate.obstacle(replica)?.type, "backoff");
   assert.equal(replica.failures, 0);
-  assert.equal(replica.paused(context.clock.now()), false);
+  assert.equal(replica.isPaused(context.clock.now()), false);
 }
--- a/test/gateway/requests/placements_test.ts
+++ b/test/gateway/requests/placements_test.ts
@@ -5,7 +5,7 @@
 import { type Route, RouteKind } from "../../../src/gateway/mod.ts";
 import { Metrics } from "../../../src/gateway/observe/metrics.ts";
 import { HostMessageSchema } from "../../../src/gateway/planning/messages.ts";
-import { Places } from "../../../src/gateway/planning/places.ts";
+import { PlannerClient } from "../../../src/gateway/planning/planner_client.ts";
 import type { PlanService } from "../../../src/gateway/planning/plan_service.ts";
 import { ReplicaTable } from "../../../src/gateway/replicas/replica_table.ts";
 import { RouteTable } from "../../../src/gateway/routing/route_table.ts";
@@ -14,8 +14,8 @@
 import { PlainPlacement } from "../../../src/gateway/requests/plain_placement.ts";
 import type { GatewayRequest } from "../../../src/gateway/requests/request.ts";
 import { testDialect } from "../dialect.ts";
-import { loneLimits } from "../limits/lone_limits.ts";
-import { loneGate } from "../replicas/lone_gate.ts";
+import { singleHostLimits } from "../limits/single_host_limits.ts";
+import { singleHostGate } from "../replicas/single_host_gate.ts";
 import { ENGINE } from "../rig.ts";
 
 const ROUTE: Route = {
@@ -45,7 +45,7 @@
   service: "s",
   priority: 1,
   receivedAt: 0,
-  limitAt: 1000,
+  deadline: 1000,
 };
 
 /** A context with a fake planner, and the messages that the planner receives. */
@@ -69,14 +69,14 @@
       readReservation: () => undefined,
       readAnswer: testDialect.readAnswer,
     },
-    pool: { small: () => Promise.resolve({ status: 503, body: "" }) },
+    pool: { sendSmall: () => Promise.resolve({ status: 503, body: "" }) },
     events: { note: () => undefined },
     metrics: new Metrics(),
-    limits: loneLimits(),
+    limits: singleHostLimits(),
     replicas,
     routes: new RouteTable(),
-    ...loneGate({ replicas }),
-    tuning: { outputMargin: 1, farCharge: 0 },
+    ...singleHostGate({ replicas }),
+    tuning: { outputMargin: 1, remoteHallPenalty: 0 },
   } as unknown as GatewayContext;
   context.replicas.adopt({
     revision: 1,
@@ -100,7 +100,7 @@
       onMessage(message);
     },
   } as unknown as PlanService;
-  const planner = new Places(context, plans, () => []);
+  const planner = new PlannerClient(context, plans, () => []);
   return {
     context,
     planner,
--- a/test/gateway/requests/restarted_replica_test.ts
+++ b/test/gateway/requests/restarted_replica_test.ts
@@ -5,7 +5,11 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { type ReplicaEntry, ReplicaStage } from "../../../src/gateway/mod.ts";
-import { type RawAnswer, type RawRequest, whole } from "../raw_replica.ts";
+import {
+  completeResponse,
+  type RawAnswer,
+  type RawRequest,
+} from "../raw_replica.ts";
 import { ENGINE, type Rig, withRig } from "../rig.ts";
 
 const isHostCall = ({ path }: RawRequest) => /^.(reserve|export)/.test(path);
@@ -23,7 +27,7 @@
   let currentRig: Rig | undefined;
   const answer: RawAnswer = (request, socket) => {
     if (currentRig && request.number === 1) restart(currentRig, 2);
-    socket.write(whole(request, `answer ${request.number}`));
+    socket.write(completeResponse(request, `answer ${request.number}`));
   };
   await withRig({ replicas: [{ answer }] }, async (rig) => {
     currentRig = rig;
@@ -41,11 +45,13 @@
   let restartNow: () => void = () => undefined;
   const decodes: RawAnswer = (request, socket) => {
     const body = `{"reservation":"m${request.number}"}`;
-    socket.write(whole(request, isHostCall(request) ? body : "answer"));
+    socket.write(
+      completeResponse(request, isHostCall(request) ? body : "answer"),
+    );
   };
   const prefills: RawAnswer = (request, socket) => {
     if (!isHostCall(request)) restartNow();
-    socket.write(whole(request, '{"export":"e"}'));
+    socket.write(completeResponse(request, '{"export":"e"}'));
   };
   await withRig({
     engine: ENGINE,
@@ -80,9 +86,11 @@
 
 test("draining or backoff of the old incarnation does not close the new one", async () => {
   const answer: RawAnswer = (request, socket) => {
-    if (request.number > 1) return void socket.write(whole(request, "answer"));
+    if (request.number > 1) {
+      return void socket.write(completeResponse(request, "answer"));
+    }
     const extra = ["x-not-run: 1", "x-leaving: 1", "x-backoff: 60000"];
-    const text = whole(request, "", extra);
+    const text = completeResponse(request, "", extra);
     socket.write(text.replace("200 OK", "503 Leaving"));
   };
   await withRig({ replicas: [{ answer }] }, async (rig) => {
--- a/test/gateway/retries/arrivals_test.ts
+++ b/test/gateway/retries/arrivals_test.ts
@@ -5,22 +5,28 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { ReplicaStage } from "../../../src/gateway/mod.ts";
-import { type RawAnswer, type RawRequest, whole } from "../raw_replica.ts";
+import {
+  completeResponse,
+  type RawAnswer,
+  type RawRequest,
+} from "../raw_replica.ts";
 import { ENGINE, type Rig, withRig } from "../rig.ts";
 
 const MAX_RETRIES = 5;
 const REQUESTS = 20;
 
 const rejects: RawAnswer = (request, socket) => {
-  const answer = whole(request, "", ["x-not-run: 1"]);
+  const answer = completeResponse(request, "", ["x-not-run: 1"]);
   socket.write(answer.replace("200 OK", "429 Too Many Requests"));
 };
 const prefills: RawAnswer = (request, socket) => {
-  socket.write(whole(request, '{"export":"e"}'));
+  socket.write(completeResponse(request, '{"export":"e"}'));
 };
 const decodes: RawAnswer = (request, socket) => {
   const isReserve = request.path === "/reserve";
-  socket.write(whole(request, isReserve ? '{"reservation":"r"}' : "answer"));
+  socket.write(
+    completeResponse(request, isReserve ? '{"reservation":"r"}' : "answer"),
+  );
 };
 
 const prefillReplica = (answer: RawAnswer) => ({
--- a/test/gateway/retries/retry_budget_test.ts
+++ b/test/gateway/retries/retry_budget_test.ts
@@ -125,14 +125,14 @@
   }));
   const directories = entries.map((entry) => {
     const directory = new HostDirectory(entry, []);
-    directory.learn(entries, 0);
+    directory.add(entries, 0);
     return directory;
   });
   // While the halls are isolated, only hosts of the same hall announce each other.
   const isolatedForMs = 600_000;
   for (let now = 1000; now <= isolatedForMs; now += 1000) {
     for (const [at, directory] of directories.entries()) {
-      directory.learn(entries.filter((_, to) => to % 3 === at % 3), now);
+      directory.add(entries.filter((_, to) => to % 3 === at % 3), now);
     }
   }
   const fleet = new BudgetFleet(9);
--- a/test/gateway/rig.ts
+++ b/test/gateway/rig.ts
@@ -2,7 +2,7 @@
 import { Agent, request } from "node:http";
 import {
   CallerServer,
-  type CallerServerSource,
+  type CallerServerOptions,
 } from "../../src/gateway/callers/server.ts";
 import { systemClock } from "../../src/gateway/clock.ts";
 import type { GatewayContext } from "../../src/gateway/context.ts";
@@ -16,10 +16,10 @@
 } from "../../src/gateway/mod.ts";
 import { Metrics } from "../../src/gateway/observe/metrics.ts";
 import { ReplicaTable } from "../../src/gateway/replicas/replica_table.ts";
-import { Places } from "../../src/gateway/planning/places.ts";
+import { PlannerClient } from "../../src/gateway/planning/planner_client.ts";
 import { PlanService } from "../../src/gateway/planning/plan_service.ts";
-import { loneGate } from "./replicas/lone_gate.ts";
-import { loneLimits } from "./limits/lone_limits.ts";
+import { singleHostGate } from "./replicas/single_host_gate.ts";
+import { singleHostLimits } from "./limits/single_host_limits.ts";
 import { CrashWatch } from "../../src/gateway/crashes/crash_watch.ts";
 import { RetryBudget } from "../../src/gateway/retries/retry_budget.ts";
 import { RouteTable } from "../../src/gateway/routing/route_table.ts";
@@ -32,7 +32,7 @@
   type RawReplica,
   startRawReplica,
 } from "./raw_replica.ts";
-import { quietEras } from "./quiet_eras.ts";
+import { emptyStoreEras } from "./empty_store_eras.ts";
 
 /** For timeouts that must not expire during a test. */
 const TEST_TIMEOUT_MS = 20_000;
@@ -44,7 +44,7 @@
 };
 
 /** Options of {@link startRig}. */
-export type RigSource = {
+export type RigOptions = {
   readonly route?: Partial<Route>;
   readonly engine?: Service["engine"];
   readonly replicas: readonly RigReplica[];
@@ -52,14 +52,14 @@
   /** Age of the host's configuration; 0 by default. */
   readonly configAgeMs?: () => number;
   /** Grants every request at once by default. */
-  readonly quotas?: CallerServerSource["quotas"];
+  readonly quotas?: CallerServerOptions["quotas"];
   readonly budget?: { readonly ratio: number; readonly extra: number };
   /** Replaces the time of the host's clock; its timers stay real. */
   readonly now?: () => number;
 };
 
 /** A response as the caller received it. */
-export type Seen = {
+export type CallResult = {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
   readonly body: string;
@@ -74,11 +74,11 @@
   readonly events: { readonly name: string; readonly fields: object }[];
   readonly address: string;
   /** Sends a request; rejects if no response headers are received. */
-  call(options?: CallOptions): Promise<Seen>;
+  call(options?: CallOptions): Promise<CallResult>;
   /** Resolves once the replicas have received `count` requests. */
-  arrived(count: number): Promise<void>;
+  waitForRequests(count: number): Promise<void>;
   /** Closes all connections of the caller. */
-  leave(): void;
+  disconnectCaller(): void;
   stop(): void;
 };
 
@@ -117,17 +117,17 @@
   anonymous: false,
 };
 
-const UNLIMITED_QUOTAS: CallerServerSource["quotas"] = {
-  take: () =>
+const UNLIMITED_QUOTAS: CallerServerOptions["quotas"] = {
+  acquire: () =>
     Promise.resolve({
       type: "granted",
       afterMs: 0,
-      giveBack: () => undefined,
+      release: () => undefined,
     }),
 };
 
 /** Starts raw replicas and a caller-facing server for them. */
-export async function startRig(options: RigSource): Promise<Rig> {
+export async function startRig(options: RigOptions): Promise<Rig> {
   const replicas = await Promise.all(
     options.replicas.map((replica) => startRawReplica(replica.answer)),
   );
@@ -139,7 +139,7 @@
   });
   const callers = new CallerServer({
     context,
-    places: new Places(context, new PlanService(context), () => []),
+    planner: new PlannerClient(context, new PlanService(context), () => []),
     admission: {
       routes: context.routes,
       configAgeMs: () => options.configAgeMs?.() ?? 0,
@@ -160,14 +160,14 @@
     events,
     address: `127.0.0.1:${port}`,
     call: (callOptions = {}) => call(port, agent, callOptions),
-    arrived: async (count) => {
+    waitForRequests: async (count) => {
       const receivedCount = () =>
         replicas.flatMap((replica) => replica.requests).length;
       while (receivedCount() < count) {
         await new Promise((resolve) => setTimeout(resolve, 5));
       }
     },
-    leave: () => agent.destroy(),
+    disconnectCaller: () => agent.destroy(),
     stop: () => {
       agent.destroy();
       callers.server.closeAllConnections();
@@ -180,7 +180,7 @@
 
 /** Runs `work` with a rig and stops the rig afterwards. */
 export async function withRig(
-  options: RigSource,
+  options: RigOptions,
   work: (rig: Rig) => Promise<void>,
 ): Promise<void> {
   const rig = await startRig(options);
@@ -193,7 +193,7 @@
 
 function entryOf(
   replica: RawReplica,
-  options: RigSource,
+  options: RigOptions,
   index: number,
 ): ReplicaEntry {
   const stage = options.replicas[index]?.stage;
@@ -211,7 +211,7 @@
 }
 
 function createTestContext(
-  options: RigSource,
+  options: RigOptions,
   events: { name: string; fields: object }[],
 ): GatewayContext {
   const routes = new RouteTable();
@@ -239,7 +239,7 @@
   const metrics = new Metrics();
   const replicas = new ReplicaTable();
   const clock = { ...systemClock, now: options.now ?? systemClock.now };
-  const limits = loneLimits({
+  const limits = singleHostLimits({
     clock,
     events: log,
     metrics,
@@ -249,34 +249,34 @@
     self: { id: "host", hall: "hall", run: "1" },
     clock,
     suspensions: neverSuspended(),
-    eras: quietEras(),
+    eras: emptyStoreEras(),
     random: () => 0,
     dialect: testDialect,
     routes,
     replicas,
-    budget: new RetryBudget({ ...rule, ...budget }, -TEST_TIMEOUT_MS),
+    retryBudget: new RetryBudget({ ...rule, ...budget }, -TEST_TIMEOUT_MS),
     pool: new UpstreamPool(clock, TEST_TIMEOUT_MS),
     crashes: new CrashWatch({
       clock,
       events: log,
       metrics,
-      rule: { most: 3, lifeMs: TEST_TIMEOUT_MS },
-      isLeaving: (entry) => replicas.isLeaving(entry),
+      rule: { crashThreshold: 3, ttlMs: TEST_TIMEOUT_MS },
+      isDraining: (entry) => replicas.isDraining(entry),
       probe: (address) =>
         probeAddress(address, { clock, timeoutMs: TEST_TIMEOUT_MS }),
     }),
     limits,
-    ...loneGate({ clock, events: log, replicas, limits }),
+    ...singleHostGate({ clock, events: log, replicas, limits }),
     events: log,
     metrics,
     tuning: {
       reserveTimeoutMs: TEST_TIMEOUT_MS,
       prefillTimeoutMs: TEST_TIMEOUT_MS,
       retryAfterObjectives: 1,
-      stallMs: TEST_TIMEOUT_MS,
+      stallTimeoutMs: TEST_TIMEOUT_MS,
       outputMargin: 1,
       memoryShare: 1,
-      farCharge: 0.1,
+      remoteHallPenalty: 0.1,
     },
     hostCount: () => 1,
     stop: { graceMs: TEST_TIMEOUT_MS },
@@ -287,7 +287,7 @@
   port: number,
   agent: Agent,
   options: CallOptions,
-): Promise<Seen> {
+): Promise<CallResult> {
   const { id = "1", path = "/a/b", method = "GET", body = "" } = options;
   return new Promise((resolve, reject) => {
     const clientRequest = request({
--- a/test/gateway/stages/lease_test.ts
+++ b/test/gateway/stages/lease_test.ts
@@ -2,11 +2,11 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { xoroshiro128plus } from "pure-rand";
-import { draw } from "../../../src/util/chance.ts";
+import { randomInt } from "../../../src/util/random.ts";
 import type { Store, StoreRow } from "../../../src/gateway/port.ts";
 import { acquireLease, type Lease } from "../../../src/gateway/stages/lease.ts";
 import type { StoreEras } from "../../../src/gateway/state/store_eras.ts";
-import { quietEras } from "../quiet_eras.ts";
+import { emptyStoreEras } from "../empty_store_eras.ts";
 
 const GUARD_MS = 3000;
 const SIGNAL = new AbortController().signal;
@@ -67,7 +67,7 @@
   { store: LeaseStore; eras: StoreEras }
 > {
   const store = new LeaseStore();
-  const eras = quietEras();
+  const eras = emptyStoreEras();
   await store.acquire("a", eras);
   store.now = 60_000;
   return { store, eras };
@@ -80,7 +80,7 @@
   assert.ok(first);
   restore();
   store.now += 100;
-  const otherEras = quietEras();
+  const otherEras = emptyStoreEras();
   assert.equal(await store.acquire("b", otherEras), undefined);
   store.now = first.until + GUARD_MS;
   assert.equal(await store.acquire("b", otherEras), undefined);
@@ -115,14 +115,14 @@
     const random = xoroshiro128plus(seed);
     const store = new LeaseStore();
     const copies = [store.copy()];
-    const hosts = ["a", "b", "c"].map((id) => ({ id, eras: quietEras() }));
+    const hosts = ["a", "b", "c"].map((id) => ({ id, eras: emptyStoreEras() }));
     const leases: { id: string; at: number; lease: Lease }[] = [];
     for (let step = 0; step < 150; step++) {
-      store.now += draw(random, 900);
-      store.addWrites(draw(random, 3));
-      if (draw(random, 4) === 0) copies.push(store.copy());
-      if (draw(random, 25) === 0) copies.at(-1 - draw(random, 3))?.();
-      const host = hosts[draw(random, hosts.length)];
+      store.now += randomInt(random, 900);
+      store.addWrites(randomInt(random, 3));
+      if (randomInt(random, 4) === 0) copies.push(store.copy());
+      if (randomInt(random, 25) === 0) copies.at(-1 - randomInt(random, 3))?.();
+      const host = hosts[randomInt(random, hosts.length)];
       if (!host) continue;
       const lease = await store.acquire(host.id, host.eras);
       if (lease) leases.push({ id: host.id, at: store.now, lease });
--- a/test/gateway/stages/stage_loop_test.ts
+++ b/test/gateway/stages/stage_loop_test.ts
@@ -11,11 +11,11 @@
 import { ReplicaTable } from "../../../src/gateway/replicas/replica_table.ts";
 import { runStageLoop } from "../../../src/gateway/stages/stage_loop.ts";
 import { testDialect } from "../dialect.ts";
-import { loneGate } from "../replicas/lone_gate.ts";
+import { singleHostGate } from "../replicas/single_host_gate.ts";
 import { ENGINE } from "../rig.ts";
 import { replicaEntry } from "../replica_entry.ts";
 import { neverSuspended } from "../never_suspended.ts";
-import { quietEras } from "../quiet_eras.ts";
+import { emptyStoreEras } from "../empty_store_eras.ts";
 
 const SWITCH_MS = 6000;
 /** How late a replica may carry out an order that it did not answer. */
@@ -68,7 +68,7 @@
     self: { id: "host", hall: "h", run: "1" },
     clock,
     replicas,
-    ...loneGate({ replicas }),
+    ...singleHostGate({ replicas }),
     routes: {
       config: {
         services: [{
@@ -80,13 +80,20 @@
     },
     dialect: {
       report,
-      readReport: () => ({ stage: "prefill", orders: 0, changing: false }),
+      readReport: () => ({
+        stage: "prefill",
+        orderCount: 0,
+        isChanging: false,
+      }),
       orderStage: () => ({ method: "POST", path: "/order", headers: [] }),
       readOrder: () => "taken",
       readAnswer: testDialect.readAnswer,
     },
     pool: {
-      small: ({ incarnation }: ReplicaEntry, { path }: { path: string }) => {
+      sendSmall: (
+        { incarnation }: ReplicaEntry,
+        { path }: { path: string },
+      ) => {
         if (path === "/order") orders.push(incarnation);
         const status = path === "/order" ? orderStatus : 200;
         const answer = status === undefined ? undefined : { status, body: "" };
@@ -96,7 +103,7 @@
     events: { note: () => undefined },
     metrics: new Metrics(),
     stop: { graceMs: 8000 },
-    eras: quietEras(),
+    eras: emptyStoreEras(),
     suspensions: neverSuspended(),
   } as unknown as GatewayContext;
   const store = {
--- a/test/gateway/stages/stages_test.ts
+++ b/test/gateway/stages/stages_test.ts
@@ -5,7 +5,11 @@
 import "../../fixed_seed.ts";
 import type { ReplicaEntry, ReplicaStage } from "../../../src/gateway/mod.ts";
 import type { Clock } from "../../../src/gateway/clock.ts";
-import type { RowWritten, Store, StoreRow } from "../../../src/gateway/port.ts";
+import type {
+  RowWriteResult,
+  Store,
+  StoreRow,
+} from "../../../src/gateway/port.ts";
 import {
   ChangeDebounce,
   desiredChange,
@@ -14,7 +18,7 @@
 } from "../../../src/gateway/stages/balance.ts";
 import { acquireLease, isFree } from "../../../src/gateway/stages/lease.ts";
 import { replicaEntry } from "../replica_entry.ts";
-import { quietEras } from "../quiet_eras.ts";
+import { emptyStoreEras } from "../empty_store_eras.ts";
 
 function replica(
   incarnation: string,
@@ -125,7 +129,7 @@
     watchConfig: never,
     readRows: () =>
       Promise.resolve({ rows: [...rows.values()], nowMs: state.now }),
-    writeRow: ({ key, value, ifRevision }): Promise<RowWritten> => {
+    writeRow: ({ key, value, ifRevision }): Promise<RowWriteResult> => {
       const currentRevision = rows.get(key)?.revision ?? 0;
       if (ifRevision !== undefined && ifRevision !== currentRevision) {
         return Promise.resolve({ type: "conflict" });
@@ -146,7 +150,7 @@
   const store = fakeStore(state);
   const signal = new AbortController().signal;
   const clock = clockAt(state);
-  const eras = quietEras();
+  const eras = emptyStoreEras();
   const acquire = (holder: string) =>
     acquireLease({ store, clock, holder, guardMs: 3000, eras }, "s", signal);
   const first = await acquire("a");
@@ -165,7 +169,7 @@
   const store = fakeStore(state);
   const signal = new AbortController().signal;
   const clock = clockAt(state);
-  const eras = quietEras();
+  const eras = emptyStoreEras();
   const both = await Promise.all(
     ["a", "b"].map((holder) =>
       acquireLease({ store, clock, holder, guardMs: 3000, eras }, "s", signal)
--- a/test/gateway/state/config_in_force_test.ts
+++ b/test/gateway/state/config_in_force_test.ts
@@ -48,7 +48,7 @@
   );
   assert.ok(rejected.length > 0 && rejected.length < scenario.hosts);
   for (const { entry } of rejected) {
-    fleet.store.treat(entry.id, scenario.treatment);
+    fleet.store.setTreatment(entry.id, scenario.treatment);
   }
   await fleet.runTo(startAt + 500);
   fleet.store.publish(configOf(2, scenario.routes));
--- a/test/gateway/state/leaving_after_restore_test.ts
+++ b/test/gateway/state/draining_after_restore_test.ts
@@ -28,7 +28,7 @@
 
 function isOpen(host: FleetHost, id: string): boolean {
   const { replicas } = host.context;
-  return replicas.openOf("s").some(({ entry }) => entry.id === id);
+  return replicas.openReplicasOf("s").some(({ entry }) => entry.id === id);
 }
 
 /** Creates a fleet whose store was restored and in which replica "a" drains. */
@@ -37,19 +37,19 @@
 ): Promise<StateFleet> {
   const fleet = new StateFleet(scenario.size, scenario.seed);
   const { store, hosts } = fleet;
-  for (const entry of REPLICAS) store.list(entry);
+  for (const entry of REPLICAS) store.putReplica(entry);
   await fleet.runTo(STARTUP_MS + scenario.seed * 97);
   const backup = store.backUp();
   store.advanceRevision(7);
   await fleet.runTo(fleet.now + BACKUP_AGE_MS);
-  for (const { entry } of hosts) store.treat(entry.id, "reset");
+  for (const { entry } of hosts) store.setTreatment(entry.id, "reset");
   await fleet.runTo(fleet.now + scenario.outageMs);
   store.restore(backup);
   store.advanceRevision(20);
-  for (const { entry } of hosts) store.treat(entry.id, "served");
+  for (const { entry } of hosts) store.setTreatment(entry.id, "served");
   await fleet.runTo(fleet.now + scenario.drainsAfterMs);
   if (scenario.isRestoredTwice) store.restore(backup);
-  store.list({ ...replicaEntry("a"), leaving: true });
+  store.putReplica({ ...replicaEntry("a"), leaving: true });
   return fleet;
 }
 
@@ -119,7 +119,7 @@
             ? host.entry.hall === "hall-1"
             : fleet.roleOf(host) === "reader";
         const outside = new Set(fleet.hosts.filter(isOutside));
-        fleet.cut((from, to) => outside.has(from) !== outside.has(to));
+        fleet.partition((from, to) => outside.has(from) !== outside.has(to));
         await fleet.runTo(fleet.now + PROPAGATION_MS + READER_TIMEOUT_MS);
         const late = fleet.hosts.filter((host) => isOpen(host, "a"));
         const details = `${late.length} late, ${
--- a/test/gateway/state/fleet_store.ts
+++ b/test/gateway/state/fleet_store.ts
@@ -5,7 +5,7 @@
   ReplicaEntry,
   RouteConfig,
   Store,
-  StorePlace,
+  StorePosition,
   StoreRow,
 } from "../../../src/gateway/mod.ts";
 
@@ -57,7 +57,7 @@
     this.#reportsEra = reportsEra;
   }
 
-  get #position(): StorePlace {
+  get #position(): StorePosition {
     const revision = this.#revision;
     return this.#reportsEra ? { revision, era: this.#era } : { revision };
   }
@@ -71,14 +71,14 @@
   }
 
   /** Writes the row of a replica. */
-  list(entry: ReplicaEntry): void {
+  putReplica(entry: ReplicaEntry): void {
     this.#revision += 1;
     this.#replicas.set(entry.id, { entry, revision: this.#revision });
     this.#wake();
   }
 
   /** Deletes the row of a replica. */
-  unlist(id: string): void {
+  deleteReplica(id: string): void {
     this.#revision += 1;
     this.#replicas.set(id, { revision: this.#revision });
     this.#wake();
@@ -115,7 +115,7 @@
   }
 
   /** Sets how a host is treated; "reset" fails its open calls. */
-  treat(host: string, treatment: Treatment): void {
+  setTreatment(host: string, treatment: Treatment): void {
     this.#treatments.set(host, treatment);
     if (treatment !== "reset") return;
     for (const watch of [...this.#watches]) {
@@ -182,7 +182,7 @@
   }
 
   /** Whether the position is not in the store's history. */
-  #lacksPosition({ revision, era }: StorePlace): boolean {
+  #lacksPosition({ revision, era }: StorePosition): boolean {
     const isOfEra = !this.#reportsEra || era === this.#era;
     return !isOfEra || revision > this.#revision;
   }
@@ -214,7 +214,7 @@
 
   #reading(since: number): ConfigReading {
     const config = this.#configRevision > since ? this.#config : undefined;
-    return { place: this.#position, ...(config ? { config } : {}) };
+    return { position: this.#position, ...(config ? { config } : {}) };
   }
 
   #respond<Value>(
--- a/test/gateway/state/hall_link_test.ts
+++ b/test/gateway/state/hall_link_test.ts
@@ -13,11 +13,11 @@
 import { HallFollower } from "../../../src/gateway/state/hall_follower.ts";
 import { chooseReader } from "../../../src/gateway/state/reader_choice.ts";
 import type { StateMessage } from "../../../src/gateway/state/state_messages.ts";
-import { quietNews } from "../crashes/quiet_watch.ts";
+import { noopUpdateExchange } from "../crashes/empty_crash_watch.ts";
 import { replicaEntry } from "../replica_entry.ts";
 import { StateServer } from "../../../src/gateway/state/state_server.ts";
 import { neverSuspended } from "../never_suspended.ts";
-import { quietEras } from "../quiet_eras.ts";
+import { emptyStoreEras } from "../empty_store_eras.ts";
 
 /** A clock whose timers do not keep the process alive. */
 const clock: Clock = {
@@ -36,7 +36,7 @@
     routes: new RouteTable(),
     replicas: new ReplicaTable(),
     events: { note: (name: string) => events.push(name) },
-    eras: quietEras(),
+    eras: emptyStoreEras(),
     suspensions: neverSuspended(),
   } as unknown as GatewayContext;
   return { context, events };
@@ -89,26 +89,26 @@
     context: readerSide.context,
     self: readerEntry,
     directory: new HostDirectory(readerEntry, []),
-    updates: quietNews(),
+    updates: noopUpdateExchange(),
     storeAgeMs: () => ages.now,
     configAgeMs: () => Infinity,
   });
   const followerSide = makeContext();
   const self = { id: follower, address: "127.0.0.1:1", hall: "h" };
   const directory = new HostDirectory(self, []);
-  directory.learn([readerEntry], systemClock.now());
+  directory.add([readerEntry], systemClock.now());
   const received: StateMessage[] = [];
   const hallFollower = new HallFollower({
     context: followerSide.context,
     self,
     directory,
-    updates: quietNews(),
+    updates: noopUpdateExchange(),
     openLink,
     onReport: ({ message }) => {
       received.push(message);
       const { listing } = message;
       return !listing ||
-        followerSide.context.replicas.follow(listing) !== "gap";
+        followerSide.context.replicas.applyDelta(listing) !== "gap";
     },
   });
   hallFollower.start();
--- a/test/gateway/state/state_fleet.ts
+++ b/test/gateway/state/state_fleet.ts
@@ -16,7 +16,7 @@
   LinkPath,
   type LinkTarget,
 } from "../../../src/gateway/peers/link.ts";
-import { answerTo } from "../../../src/gateway/peers/server.ts";
+import { peerStateResponse } from "../../../src/gateway/peers/server.ts";
 import { createReplicaState } from "../../../src/gateway/replicas/create_replica_state.ts";
 import { RouteTable } from "../../../src/gateway/routing/route_table.ts";
 import { FleetState } from "../../../src/gateway/state/fleet_state.ts";
@@ -26,14 +26,14 @@
 import { VirtualTime } from "../../fake/virtual_time.ts";
 import { FleetStore } from "./fleet_store.ts";
 import { untilAborted } from "./until_aborted.ts";
-import { quietEras } from "../quiet_eras.ts";
+import { emptyStoreEras } from "../empty_store_eras.ts";
 
 const LINK_LATENCY_MS = 1.5;
 const TIMES = { listMs: 700, timeoutMs: 700, watchMs: 1200 };
 /** Time until the links between partitioned hosts close. */
 const LINK_TIMEOUT_MS = 1000;
 const HALLS = 3;
-const CRASH_RULE = { most: 3, lifeMs: 60_000 };
+const CRASH_RULE = { crashThreshold: 3, ttlMs: 60_000 };
 
 /** One host of the fleet. */
 export type FleetHost = {
@@ -124,7 +124,7 @@
   }
 
   /** From now on, drops everything between hosts for which `isCut` returns true. */
-  cut(isCut: (from: FleetHost, to: FleetHost) => boolean): void {
+  partition(isCut: (from: FleetHost, to: FleetHost) => boolean): void {
     this.#isCut = isCut;
     for (const link of [...this.#openLinks]) {
       if (!this.#isCutBetween(link.from, link.to)) continue;
@@ -177,8 +177,8 @@
     const suspension = { until: 0, totalMs: 0 };
     const clock = this.#clockOf(suspension);
     const suspensions = new SuspensionWatch({
-      steadyNow: clock.now,
-      dayNow: () => this.#time.now,
+      monotonicNow: clock.now,
+      wallClockNow: () => this.#time.now,
     });
     const routes = new RouteTable();
     const adoptedAt = new Map<number, number>();
@@ -186,7 +186,7 @@
     const metrics = new Metrics();
     const self = { id: entry.id, hall: entry.hall, run: `run of ${entry.id}` };
     const directory = new HostDirectory(entry, []);
-    directory.learn(entries, 0);
+    directory.add(entries, 0);
     const openLink = (target: LinkTarget, linkEvents: LinkEvents) =>
       this.#openLink(entry.id, target, linkEvents);
     const replicaState = createReplicaState({
@@ -203,21 +203,21 @@
       events,
       metrics,
       rule: CRASH_RULE,
-      isLeaving: (entry) => replicaState.replicas.isLeaving(entry),
+      isDraining: (entry) => replicaState.replicas.isDraining(entry),
       probe: () => this.probe(),
     });
     const context = {
       self,
       clock,
       suspensions,
-      eras: quietEras(),
+      eras: emptyStoreEras(),
       random: this.#random,
       routes,
       metrics,
       events,
       crashes,
       ...replicaState,
-      pool: { forget: () => undefined },
+      pool: { removeReplica: () => undefined },
     } as unknown as GatewayContext;
     const state = new FleetState({
       context,
@@ -307,7 +307,7 @@
               const configAgeMs = (now: number) => state.configAgeMs(now);
               const self = entry;
               const options = { context, self, directory, configAgeMs };
-              const body = JSON.stringify(answerTo(options, path));
+              const body = JSON.stringify(peerStateResponse(options, path));
               this.#time.clock.after(
                 LINK_LATENCY_MS,
                 () => resolve({ status: 200, body }),
--- a/test/gateway/state/state_server_test.ts
+++ b/test/gateway/state/state_server_test.ts
@@ -10,10 +10,10 @@
 import { RouteTable } from "../../../src/gateway/routing/route_table.ts";
 import type { StateMessage } from "../../../src/gateway/state/state_messages.ts";
 import { StateServer } from "../../../src/gateway/state/state_server.ts";
-import { quietNews } from "../crashes/quiet_watch.ts";
+import { noopUpdateExchange } from "../crashes/empty_crash_watch.ts";
 import { listen } from "../../platform/store_standin.ts";
 import { routesOf } from "./routes_of.ts";
-import { quietEras } from "../quiet_eras.ts";
+import { emptyStoreEras } from "../empty_store_eras.ts";
 
 /** A clock whose timers do not keep the process alive. */
 const clock: Clock = {
@@ -29,7 +29,7 @@
   const routes = new RouteTable();
   const replicas = new ReplicaTable();
   const self = { id: "reader", address: "127.0.0.1:1", hall: "h" };
-  const eras = quietEras();
+  const eras = emptyStoreEras();
   const context = {
     clock,
     routes,
@@ -40,7 +40,7 @@
     context,
     self,
     directory: new HostDirectory(self, []),
-    updates: quietNews(),
+    updates: noopUpdateExchange(),
     storeAgeMs: () => 0,
     configAgeMs: () => 0,
   });
--- a/test/gateway/state/store_eras_test.ts
+++ b/test/gateway/state/store_eras_test.ts
@@ -38,7 +38,7 @@
 
 test("the first era that a host observes is not reported as a restore", () => {
   const { eras, restored } = start();
-  eras.hear(positionOf(4, 20), 1000);
+  eras.observe(positionOf(4, 20), 1000);
   assert.deepEqual(restored, []);
   // This host can't tell whether the era has just begun.
   assert.equal(eras.isSettled(1000), false);
@@ -50,9 +50,9 @@
 
 test("each new era is unsettled for two seconds", () => {
   const { eras, restored, changes } = start();
-  eras.hear(positionOf(1, 30), 0);
-  eras.hear(positionOf(2, 10), 10_000);
-  eras.hear(positionOf(3, 12), 11_500);
+  eras.observe(positionOf(1, 30), 0);
+  eras.observe(positionOf(2, 10), 10_000);
+  eras.observe(positionOf(3, 12), 11_500);
   assert.equal(eras.isSettled(12_500), false);
   assert.equal(eras.isSettled(13_500), true);
   assert.equal(eras.isUnverified(12_500), false);
@@ -65,21 +65,21 @@
 
 test("a late response from an earlier era changes nothing", () => {
   const { eras, changes } = start();
-  eras.hear(positionOf(1, 30), 0);
+  eras.observe(positionOf(1, 30), 0);
   const call = eras.beginCall();
-  eras.hear(positionOf(2, 10), 10);
+  eras.observe(positionOf(2, 10), 10);
   const late = eras.resolvePosition({ revision: 31, era: 1 }, call);
   assert.equal(eraOf(late), 1);
-  eras.hear(late, 20);
+  eras.observe(late, 20);
   assert.equal(eras.era, 2);
   assert.deepEqual(changes, [2]);
 });
 
 test("a lower revision reveals a restore of a store that reports no era", () => {
   const { eras } = start();
-  eras.hear(eras.resolvePosition({ revision: 30 }, eras.beginCall()), 0);
+  eras.observe(eras.resolvePosition({ revision: 30 }, eras.beginCall()), 0);
   const call = eras.beginCall();
-  eras.hear(eras.resolvePosition({ revision: 34 }, eras.beginCall()), 10);
+  eras.observe(eras.resolvePosition({ revision: 34 }, eras.beginCall()), 10);
   // This call began before the other response arrived, so it may be older.
   assert.equal(
     eras.resolvePosition({ revision: 32 }, call),
@@ -93,13 +93,13 @@
 
 test("a lower revision belongs to the next era even if the store names the same era", () => {
   const { eras } = start();
-  eras.hear(positionOf(3, 30), 0);
+  eras.observe(positionOf(3, 30), 0);
   const position = eras.resolvePosition(
     { revision: 12, era: 3 },
     eras.beginCall(),
   );
   assert.equal(position, positionOf(4, 12));
-  eras.hear(position, 10);
+  eras.observe(position, 10);
   const next = eras.resolvePosition({ revision: 14, era: 3 }, eras.beginCall());
   assert.equal(next, positionOf(4, 14));
   assert.deepEqual(eras.toStorePosition(next), { revision: 14, era: 3 });
@@ -107,12 +107,12 @@
 
 test("a host whose era is ahead of the store's still accepts the store's responses", () => {
   const { eras } = start();
-  eras.hear(positionOf(5, 0), 0);
+  eras.observe(positionOf(5, 0), 0);
   const position = eras.resolvePosition(
     { revision: 7, era: 1 },
     eras.beginCall(),
   );
   assert.equal(position, positionOf(5, 7));
-  eras.hear(position, 1);
+  eras.observe(position, 1);
   assert.deepEqual(eras.toStorePosition(position), { revision: 7, era: 1 });
 });
--- a/test/gateway/state/store_loops_test.ts
+++ b/test/gateway/state/store_loops_test.ts
@@ -2,7 +2,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { GatewayContext } from "../../../src/gateway/context.ts";
-import type { Store, StorePlace } from "../../../src/gateway/mod.ts";
+import type { Store, StorePosition } from "../../../src/gateway/mod.ts";
 import { ReplicaTable } from "../../../src/gateway/replicas/replica_table.ts";
 import { RouteTable } from "../../../src/gateway/routing/route_table.ts";
 import { Metrics } from "../../../src/gateway/observe/metrics.ts";
@@ -10,7 +10,7 @@
 import { StoreLoops } from "../../../src/gateway/state/store_loops.ts";
 import type { Synchronizer } from "../../../src/gateway/state/synchronizer.ts";
 import { neverSuspended } from "../never_suspended.ts";
-import { quietEras } from "../quiet_eras.ts";
+import { emptyStoreEras } from "../empty_store_eras.ts";
 
 /** The calls that a host makes in ten seconds while the store is unavailable. */
 async function callsWhileUnavailable(reader: string): Promise<string[]> {
@@ -40,7 +40,7 @@
       events: { note: () => undefined },
       routes,
       replicas: new ReplicaTable(),
-      eras: quietEras(),
+      eras: emptyStoreEras(),
       suspensions: neverSuspended(),
     } as unknown as GatewayContext,
     store: {
@@ -50,7 +50,7 @@
     times: { listMs: 700, timeoutMs: 700, watchMs: 1500 },
     synchronizer: {
       retainsMissing: () => true,
-      isTold: () => false,
+      hasFreshReport: () => false,
       noteStoreRead: () => undefined,
     } as unknown as Synchronizer,
     follower: { reader } as HallFollower,
@@ -108,7 +108,7 @@
       events: { note: () => undefined },
       routes: new RouteTable(),
       replicas: new ReplicaTable(),
-      eras: quietEras(),
+      eras: emptyStoreEras(),
       suspensions: neverSuspended(),
     } as unknown as GatewayContext,
     store: {
@@ -120,7 +120,7 @@
           after(listDurationMs, () => resolve(listing));
         });
       },
-      watchReplicas: ({ revision }: StorePlace, waitMs: number) => {
+      watchReplicas: ({ revision }: StorePosition, waitMs: number) => {
         calls.watches += 1;
         return new Promise((resolve) => {
           const changes = { revision, changed: [], gone: [] };
@@ -134,9 +134,9 @@
     times: { listMs: 700, timeoutMs: 700, watchMs: 1200 },
     synchronizer: {
       retainsMissing: () => false,
-      isTold: () => false,
+      hasFreshReport: () => false,
       noteNewest: () => undefined,
-      takeListing: () => read.push("listing") > 0,
+      applyListing: () => read.push("listing") > 0,
       applyChanges: () => read.push("changes") > 0,
       noteStoreRead: (answered: boolean) => {
         if (!answered) read.push("lost");
--- a/test/gateway/state/store_restored_fleet_test.ts
+++ b/test/gateway/state/store_restored_fleet_test.ts
@@ -2,7 +2,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { xoroshiro128plus } from "pure-rand";
-import { draw } from "../../../src/util/chance.ts";
+import { randomInt } from "../../../src/util/random.ts";
 import type { RouteConfig } from "../../../src/gateway/mod.ts";
 import { replicaEntry } from "../replica_entry.ts";
 import { routesOf } from "./routes_of.ts";
@@ -39,20 +39,20 @@
   start(id: string): void {
     this.live.add(id);
     this.#known.add(id);
-    this.#fleet.store.list(replicaEntry(id));
+    this.#fleet.store.putReplica(replicaEntry(id));
   }
 
   end(id: string): void {
     this.live.delete(id);
-    this.#fleet.store.unlist(id);
+    this.#fleet.store.deleteReplica(id);
   }
 
   rewriteAll(): void {
     const { store } = this.#fleet;
     store.publish(configOf(this.version));
     for (const id of this.#known) {
-      if (this.live.has(id)) store.list(replicaEntry(id));
-      else store.unlist(id);
+      if (this.live.has(id)) store.putReplica(replicaEntry(id));
+      else store.deleteReplica(id);
     }
   }
 }
@@ -70,10 +70,10 @@
     let backup = store.backUp();
     const newest = new Map<string, number>();
     for (let step = 0; step < STEPS; step++) {
-      const host = hosts[draw(random, hosts.length)];
+      const host = hosts[randomInt(random, hosts.length)];
       assert.ok(host);
-      const id = `r${draw(random, 5)}`;
-      switch (draw(random, 8)) {
+      const id = `r${randomInt(random, 5)}`;
+      switch (randomInt(random, 8)) {
         case 0:
           writers.publish();
           break;
@@ -84,34 +84,34 @@
           writers.end(id);
           break;
         case 3:
-          store.advanceRevision(draw(random, 20));
+          store.advanceRevision(randomInt(random, 20));
           break;
         case 4:
           backup = store.backUp();
           break;
         case 5:
           store.restore(backup);
-          await fleet.runTo(fleet.now + draw(random, REWRITE_MS));
+          await fleet.runTo(fleet.now + randomInt(random, REWRITE_MS));
           writers.rewriteAll();
           backup = store.backUp();
           break;
         case 6:
-          store.treat(host.entry.id, "reset");
+          store.setTreatment(host.entry.id, "reset");
           break;
         default:
-          for (const { entry } of hosts) store.treat(entry.id, "served");
+          for (const { entry } of hosts) store.setTreatment(entry.id, "served");
       }
-      await fleet.runTo(fleet.now + draw(random, 1200));
+      await fleet.runTo(fleet.now + randomInt(random, 1200));
       for (const { entry, routes } of hosts) {
         const before = newest.get(entry.id) ?? 0;
         assert.ok(routes.version >= before, `Seed ${seed}: ${entry.id}`);
         newest.set(entry.id, routes.version);
       }
     }
-    for (const { entry } of hosts) store.treat(entry.id, "served");
+    for (const { entry } of hosts) store.setTreatment(entry.id, "served");
     await fleet.runTo(fleet.now + SETTLED_MS);
     for (const { entry, routes, context } of hosts) {
-      const open = context.replicas.openOf("s").map((replica) =>
+      const open = context.replicas.openReplicasOf("s").map((replica) =>
         replica.entry.id
       );
       const at = `Seed ${seed}: ${entry.id}`;
@@ -125,7 +125,7 @@
   const fleet = new StateFleet(88, 5);
   const { store } = fleet;
   store.publish(configOf(1));
-  for (const id of ["a", "b", "c"]) store.list(replicaEntry(id));
+  for (const id of ["a", "b", "c"]) store.putReplica(replicaEntry(id));
   await fleet.runTo(STARTUP_MS);
   const backup = store.backUp();
   store.advanceRevision(20);
--- a/test/gateway/state/store_restored_test.ts
+++ b/test/gateway/state/store_restored_test.ts
@@ -48,7 +48,7 @@
   const { reportsEra = true } = scenario;
   const fleet = new StateFleet(HOSTS, scenario.seed, { reportsEra });
   const { store } = fleet;
-  for (const entry of REPLICAS) store.list(entry);
+  for (const entry of REPLICAS) store.putReplica(entry);
   store.publish(configOf(1));
   await fleet.runTo(STARTUP_MS + scenario.seed * 97);
   const backup = store.backUp();
@@ -64,14 +64,14 @@
 
 async function interruptStore(fleet: StateFleet, forMs: number): Promise<void> {
   const { hosts, store } = fleet;
-  for (const { entry } of hosts) store.treat(entry.id, "reset");
+  for (const { entry } of hosts) store.setTreatment(entry.id, "reset");
   await fleet.runTo(fleet.now + forMs);
-  for (const { entry } of hosts) store.treat(entry.id, "served");
+  for (const { entry } of hosts) store.setTreatment(entry.id, "served");
 }
 
 function isOpen(host: FleetHost, id: string): boolean {
   const { replicas } = host.context;
-  return replicas.openOf("s").some(({ entry }) => entry.id === id);
+  return replicas.openReplicasOf("s").some(({ entry }) => entry.id === id);
 }
 
 /**
@@ -80,7 +80,7 @@
  */
 async function findLateHosts(fleet: StateFleet): Promise<string[]> {
   fleet.store.publish(configOf(3));
-  fleet.store.list({ ...DRAINING, leaving: true });
+  fleet.store.putReplica({ ...DRAINING, leaving: true });
   await fleet.runTo(fleet.now + IN_FORCE_MS);
   const isLate = (host: FleetHost) =>
     host.routes.version < 3 || isOpen(host, DRAINING.id);
@@ -108,7 +108,7 @@
   for (let seed = 0; seed < SEEDS; seed++) {
     const fleet = new StateFleet(HOSTS, seed);
     const { store } = fleet;
-    for (const entry of REPLICAS) store.list(entry);
+    for (const entry of REPLICAS) store.putReplica(entry);
     store.publish(configOf(1));
     await fleet.runTo(STARTUP_MS + seed * 97);
     const backup = store.backUp();
@@ -117,7 +117,7 @@
     // Written between two reads of any host; the revision then exceeds the old one.
     store.restore(backup);
     store.publish(configOf(2));
-    store.list({ ...DRAINING, leaving: true });
+    store.putReplica({ ...DRAINING, leaving: true });
     store.advanceRevision(20);
     await fleet.runTo(fleet.now + SETTLED_MS + IN_FORCE_MS);
     const late = fleet.hosts.filter((host) =>
@@ -153,7 +153,7 @@
   for (let seed = 0; seed < SEEDS; seed++) {
     const fleet = new StateFleet(HOSTS, seed);
     const { store, hosts } = fleet;
-    for (const entry of REPLICAS) store.list(entry);
+    for (const entry of REPLICAS) store.putReplica(entry);
     store.publish(configOf(1));
     await fleet.runTo(STARTUP_MS + seed * 97);
     const backup = store.backUp();
@@ -162,15 +162,15 @@
     const isCut = (host: FleetHost) => host.entry.hall === cutHall;
     const rejected = hosts.filter((host, at) => at % 2 === 0 || isCut(host));
     await fleet.runTo(fleet.now + BACKUP_AGE_MS);
-    for (const { entry } of rejected) store.treat(entry.id, "silent");
-    fleet.cut((from, to) => isCut(from) !== isCut(to));
+    for (const { entry } of rejected) store.setTreatment(entry.id, "silent");
+    fleet.partition((from, to) => isCut(from) !== isCut(to));
     store.restore(backup);
     await fleet.runTo(fleet.now + SETTLED_MS);
     // The partitioned hall still has the old era's higher revision.
-    fleet.cut(() => false);
+    fleet.partition(() => false);
     await fleet.runTo(fleet.now + SETTLED_MS);
     store.publish(configOf(3));
-    store.list({ ...DRAINING, leaving: true });
+    store.putReplica({ ...DRAINING, leaving: true });
     await fleet.runTo(fleet.now + 2 * IN_FORCE_MS);
     const late = hosts.filter((host) =>
       host.routes.version < 3 || isOpen(host, DRAINING.id)
@@ -186,13 +186,13 @@
 ): Promise<StateFleet> {
   const fleet = new StateFleet(HOSTS, seed);
   const { store } = fleet;
-  for (const entry of REPLICAS) store.list(entry);
+  for (const entry of REPLICAS) store.putReplica(entry);
   store.publish(configOf(1, routes));
   await fleet.runTo(STARTUP_MS + seed * 97);
   const backup = store.backUp();
   store.publish(configOf(2, routes));
-  store.unlist("b");
-  store.list(replicaEntry("new"));
+  store.deleteReplica("b");
+  store.putReplica(replicaEntry("new"));
   await fleet.runTo(fleet.now + BACKUP_AGE_MS);
   store.restore(backup);
   return fleet;
@@ -218,8 +218,8 @@
       check();
     }
     store.publish(configOf(2));
-    store.unlist("b");
-    store.list(replicaEntry("new"));
+    store.deleteReplica("b");
+    store.putReplica(replicaEntry("new"));
     while (fleet.now < restoredAt + 8000) {
       await fleet.runTo(fleet.now + 100);
       check();
--- a/test/gateway/state/suspension_test.ts
+++ b/test/gateway/state/suspension_test.ts
@@ -14,10 +14,10 @@
   const clocks = { steady: 100, day: 5_000_000 };
   const suspendedMs: number[] = [];
   const suspensions = new SuspensionWatch({
-    steadyNow: () => clocks.steady,
-    dayNow: () => clocks.day,
+    monotonicNow: () => clocks.steady,
+    wallClockNow: () => clocks.day,
   });
-  suspensions.listen((forMs) => suspendedMs.push(forMs));
+  suspensions.addListener((forMs) => suspendedMs.push(forMs));
   const advance = (steadyMs: number, dayMs = steadyMs) => {
     clocks.steady += steadyMs;
     clocks.day += dayMs;
--- a/test/gateway/state/synchronizer_test.ts
+++ b/test/gateway/state/synchronizer_test.ts
@@ -6,13 +6,13 @@
 import { ReplicaTable } from "../../../src/gateway/replicas/replica_table.ts";
 import { RouteTable } from "../../../src/gateway/routing/route_table.ts";
 import { positionOf } from "../../../src/gateway/position.ts";
-import { quietWatch } from "../crashes/quiet_watch.ts";
+import { emptyCrashWatch } from "../crashes/empty_crash_watch.ts";
 import { replicaEntry } from "../replica_entry.ts";
 import type { VersionAnnouncement } from "../../../src/gateway/state/config_catchup.ts";
 import type { ReaderReport } from "../../../src/gateway/state/hall_follower.ts";
 import type { StateMessage } from "../../../src/gateway/state/state_messages.ts";
 import { Synchronizer } from "../../../src/gateway/state/synchronizer.ts";
-import { quietEras } from "../quiet_eras.ts";
+import { emptyStoreEras } from "../empty_store_eras.ts";
 
 const REPLICA = replicaEntry("a");
 
@@ -23,13 +23,13 @@
   const replicas = new ReplicaTable();
   const routes = new RouteTable();
   const context = {
-    eras: quietEras(),
+    eras: emptyStoreEras(),
     clock: { now: () => time.now },
     replicas,
     routes,
     events: { note: () => undefined },
-    pool: { forget: () => undefined },
-    crashes: quietWatch(),
+    pool: { removeReplica: () => undefined },
+    crashes: emptyCrashWatch(),
   } as unknown as GatewayContext;
   const synchronizer = new Synchronizer({
     context,
@@ -40,7 +40,7 @@
     isRelay: () => isRelay,
   });
   const read = (revision: number, entries: readonly ReplicaEntry[]) => {
-    const applied = synchronizer.takeListing({ revision, entries }, "store");
+    const applied = synchronizer.applyListing({ revision, entries }, "store");
     synchronizer.noteStoreRead(applied, time.now);
   };
   return { time, replicas, routes, synchronizer, read, changedAt, announced };
@@ -59,13 +59,13 @@
   synchronizer.noteStoreRead(false, time.now);
   time.now = 2000;
   read(2, []);
-  assert.equal(replicas.openOf("s").length, 1);
+  assert.equal(replicas.openReplicasOf("s").length, 1);
   time.now = 3000;
   read(3, []);
-  assert.equal(replicas.openOf("s").length, 1);
+  assert.equal(replicas.openReplicasOf("s").length, 1);
   time.now = 4100;
   read(4, []);
-  assert.equal(replicas.openOf("s").length, 0);
+  assert.equal(replicas.openReplicasOf("s").length, 0);
 });
 
 test("a replica missing from a listing while the store responds is removed at once", () => {
@@ -73,7 +73,7 @@
   read(1, [REPLICA]);
   time.now = 700;
   read(2, []);
-  assert.equal(replicas.openOf("s").length, 0);
+  assert.equal(replicas.openReplicasOf("s").length, 0);
 });
 
 test("the store state is as old as the reader reports", () => {
@@ -82,8 +82,8 @@
   const message = { type: "state", version: 0 } as const;
   synchronizer.applyReport(reportOf({ ...message, ageMs: 400 }));
   assert.equal(synchronizer.storeAgeMs(10_000), 400);
-  assert.equal(synchronizer.isTold(10_500), true);
-  assert.equal(synchronizer.isTold(11_000), false);
+  assert.equal(synchronizer.hasFreshReport(10_500), true);
+  assert.equal(synchronizer.hasFreshReport(11_000), false);
 });
 
 test("a relay reads the store before its followers would", () => {
@@ -91,8 +91,8 @@
   time.now = 10_000;
   const message = { type: "state", version: 0, ageMs: 0 } as const;
   synchronizer.applyReport(reportOf(message));
-  assert.equal(synchronizer.isTold(10_999), true);
-  assert.equal(synchronizer.isTold(11_000), false);
+  assert.equal(synchronizer.hasFreshReport(10_999), true);
+  assert.equal(synchronizer.hasFreshReport(11_000), false);
 });
 
 test("a newer report is forwarded at once, an older one is not", () => {
@@ -111,7 +111,7 @@
   const { time, synchronizer } = start();
   time.now = 10_000;
   synchronizer.applyReport(reportOf({ type: "state", version: 0 }));
-  assert.equal(synchronizer.isTold(10_000), false);
+  assert.equal(synchronizer.hasFreshReport(10_000), false);
   assert.equal(synchronizer.storeAgeMs(10_000), Infinity);
 });
 
@@ -125,7 +125,7 @@
   synchronizer.applyReport(reportOf(message));
   assert.equal(announced.length, 2);
   assert.equal(changedAt.length, 1);
-  synchronizer.takeConfig(configOf(3), "store");
+  synchronizer.applyConfig(configOf(3), "store");
   synchronizer.applyReport(reportOf(message));
   assert.equal(announced.length, 2);
 });
@@ -161,7 +161,7 @@
 test("the age of the configuration counts from the start of the call to the store", () => {
   const { synchronizer } = start();
   assert.equal(synchronizer.configAgeMs(100), Infinity);
-  synchronizer.takeConfig(configOf(1), "store");
+  synchronizer.applyConfig(configOf(1), "store");
   synchronizer.noteNewest(1, 100);
   assert.equal(synchronizer.configAgeMs(600), 500);
   // A late report of an earlier time changes nothing.
@@ -171,7 +171,7 @@
 
 test("a report about a version that this host lacks does not renew the configuration's age", () => {
   const { time, synchronizer } = start();
-  synchronizer.takeConfig(configOf(1), "store");
+  synchronizer.applyConfig(configOf(1), "store");
   synchronizer.noteNewest(1, 100);
   time.now = 1000;
   const message = { type: "state", version: 2 } as const;
@@ -187,7 +187,7 @@
   time.now = 10_000;
   const message = { type: "state", version: 1, ageMs: 0 } as const;
   synchronizer.applyReport(reportOf({ ...message, era: 2 }));
-  assert.equal(synchronizer.isTold(10_500), true);
+  assert.equal(synchronizer.hasFreshReport(10_500), true);
   time.now = 11_000;
   // Nor is a report without an era; its configuration is applied all the same.
   for (const era of [{ era: 1 }, {}]) {
@@ -205,13 +205,16 @@
     revision: positionOf(era, revision),
     entries: [replicaEntry(id)],
   });
-  assert.ok(synchronizer.takeListing(listing(1, 30, "a"), "store"));
+  assert.ok(synchronizer.applyListing(listing(1, 30, "a"), "store"));
   time.now = 5000;
   const message = { type: "state", version: 0, era: 2 } as const;
   synchronizer.applyReport(reportOf({ ...message, ageMs: 0 }));
-  assert.equal(synchronizer.takeListing(listing(1, 31, "b"), "peer"), false);
-  assert.deepEqual(replicas.openOf("s").map((replica) => replica.entry.id), [
-    "a",
-  ]);
-  assert.ok(synchronizer.takeListing(listing(2, 7, "c"), "store"));
+  assert.equal(synchronizer.applyListing(listing(1, 31, "b"), "peer"), false);
+  assert.deepEqual(
+    replicas.openReplicasOf("s").map((replica) => replica.entry.id),
+    [
+      "a",
+    ],
+  );
+  assert.ok(synchronizer.applyListing(listing(2, 7, "c"), "store"));
 });
--- a/test/gateway/upstreams/call_test.ts
+++ b/test/gateway/upstreams/call_test.ts
@@ -6,7 +6,7 @@
   type CallOutcome,
   startCall,
 } from "../../../src/gateway/upstreams/call.ts";
-import { startRawReplica, whole } from "../raw_replica.ts";
+import { completeResponse, startRawReplica } from "../raw_replica.ts";
 
 /**
  * Outcome of a call that follows an answered one. The replica closes the
@@ -20,7 +20,9 @@
 ): Promise<CallOutcome> {
   let now = 0;
   const replica = await startRawReplica((request, socket) => {
-    if (request.number === 1) return void socket.write(whole(request, ""));
+    if (request.number === 1) {
+      return void socket.write(completeResponse(request, ""));
+    }
     now = elapsedMs;
     socket.destroy();
   });
@@ -68,7 +70,7 @@
   test(`a call that waited for a ${keepAlive ? "reused" : "new"} connection isn't sent once sending is no longer allowed`, async () => {
     let respondToFirst: () => void = () => undefined;
     const replica = await startRawReplica((request, socket) => {
-      respondToFirst = () => void socket.write(whole(request, ""));
+      respondToFirst = () => void socket.write(completeResponse(request, ""));
     });
     const agent = new Agent({ keepAlive, maxSockets: 1 });
     let maySend = true;
@@ -82,7 +84,7 @@
         agent,
         clock: { now: () => 0, after: () => () => undefined },
         connectTimeoutMs: 1000,
-        mayGo: () => maySend,
+        maySend: () => maySend,
       });
     try {
       const first = call().outcome;
--- a/test/platform/dialect_test.ts
+++ b/test/platform/dialect_test.ts
@@ -137,7 +137,7 @@
 
 test("a response with a missing or invalid field is ignored", () => {
   const valid = { Stage: "decode", Utilization: false, Sequence: 2 };
-  const report = { stage: "decode", orders: 2, changing: false };
+  const report = { stage: "decode", orderCount: 2, isChanging: false };
   assert.deepEqual(dialect.readReport(JSON.stringify(valid)), report);
   const invalid = [
     { ...valid, Stage: "both" },
--- a/test/platform/replica_standin.ts
+++ b/test/platform/replica_standin.ts
@@ -64,7 +64,7 @@
   /** The rate limit header of its responses; undefined for none. */
   limit: string | undefined;
   /** Whether all its responses mark it as draining. */
-  leaving: boolean;
+  draining: boolean;
   /** How it rejects requests; undefined if it accepts them. */
   backoff: Backoff | undefined;
   /** Simulates a crash: resets all connections. */
@@ -96,7 +96,7 @@
   running: number;
   sequence: number;
   limit: string | undefined;
-  leaving: boolean;
+  draining: boolean;
   backoff: Backoff | undefined;
   readonly start: number;
 };
@@ -115,7 +115,7 @@
     running: 0,
     sequence: 0,
     limit: undefined,
-    leaving: false,
+    draining: false,
     backoff: undefined,
   };
   const server = createServer((request, response) => {
@@ -140,11 +140,11 @@
     set limit(text) {
       engine.limit = text;
     },
-    get leaving() {
-      return engine.leaving;
+    get draining() {
+      return engine.draining;
     },
-    set leaving(leaves) {
-      engine.leaving = leaves;
+    set draining(leaves) {
+      engine.draining = leaves;
     },
     get backoff() {
       return engine.backoff;
@@ -166,7 +166,7 @@
 ): Promise<void> {
   const body = await textOf(request);
   const path = request.url ?? "";
-  if (engine.leaving) response.setHeader("Server-Leaving", "1");
+  if (engine.draining) response.setHeader("Server-Leaving", "1");
   if (path === "/hold-take") return reserve(engine, body, response);
   if (path.startsWith("/hold-drop/")) {
     engine.reservations.delete(path.slice("/hold-drop/".length));
@@ -223,7 +223,7 @@
   }
   const isPrefill = header("serving-stage") === "prefill";
   const fromEvent = Number(header("last-event-id") || -1) + 1;
-  const { leaving: saidLeaving, start } = engine;
+  const { draining: saidLeaving, start } = engine;
   const backoff = nextBackoff(engine);
   const note = (ran: boolean) =>
     world.arrivals.push({
--- a/test/platform/store_standin.ts
+++ b/test/platform/store_standin.ts
@@ -21,9 +21,9 @@
   /** Every call is answered with 503. */
   down: "down",
   /** No call gets a response. */
-  silent: "silent",
+  unresponsive: "silent",
   /** Writes are applied but get no response. */
-  lost: "lost",
+  responseLost: "lost",
 } as const;
 /** One of the values of {@link StoreMode}. */
 export type StoreMode = typeof StoreMode[keyof typeof StoreMode];
@@ -41,7 +41,7 @@
   /** Drops the change history: feeds that start before now get 410. */
   loseHistory(): void;
   /** Raises the revision by a number of writes to rows that no test reads. */
-  pass(writes: number): void;
+  advanceRevision(writes: number): void;
   /** Copies the current state. */
   copy(): StoreCopy;
   /** Restores an older copy; the era increases. */
@@ -76,7 +76,7 @@
   };
   const server = createServer((request, response) => {
     response.setHeader("Store-Era", state.era);
-    if (store.mode === StoreMode.silent) return;
+    if (store.mode === StoreMode.unresponsive) return;
     if (store.mode === StoreMode.down) return send(response, 503, {});
     const respond = () => {
       handleCall(state, store, request, response)
@@ -99,7 +99,7 @@
       state.historyStart = state.ver + 1;
       notifyWatchers(state);
     },
-    pass: (writes) => void (state.ver += writes),
+    advanceRevision: (writes) => void (state.ver += writes),
     copy: () => ({ rows: new Map(state.rows), ver: state.ver }),
     restore: ({ rows, ver }) => {
       state.rows = new Map(rows);
@@ -217,7 +217,7 @@
   for (const { table, PrivateKey, Value } of rows) {
     write(state, { table, PrivateKey, ...(Value ? { Value } : {}) });
   }
-  if (store.mode === StoreMode.lost) return;
+  if (store.mode === StoreMode.responseLost) return;
   send(response, 200, { ver: state.ver, now_ms: performance.now() });
 }
 
--- a/test/platform/store_test.ts
+++ b/test/platform/store_test.ts
@@ -72,7 +72,7 @@
 test("an unreadable configuration is an error", async (t) => {
   const { standin, store } = await start(t);
   standin.put("op", "config", { Version: 1 });
-  const { place } = await store.readConfig(SIGNAL);
+  const { position: place } = await store.readConfig(SIGNAL);
   assert.ok(place);
   standin.put("op", "config", "no object" as unknown as object);
   await assert.rejects(store.watchConfig(place, 10, SIGNAL), /Unreadable/);
@@ -85,7 +85,7 @@
   const copy = standin.copy();
   standin.put("servers", "b", REPLICA);
   const listing = await store.readReplicas(SIGNAL);
-  const { place } = await store.readConfig(SIGNAL);
+  const { position: place } = await store.readConfig(SIGNAL);
   assert.ok(place);
   standin.restore(copy);
   const watches = () =>
--- a/test/programs/story_test.ts
+++ b/test/programs/request_log_test.ts
@@ -5,7 +5,7 @@
 import {
   findRequestLines,
   formatRequestLines,
-} from "../../src/programs/ctl/story.ts";
+} from "../../src/programs/ctl/request_log.ts";
 
 function line(time: string, request: string, msg: string): string {
   const base = { name: "otterhill-gateway", host: "h1", event: "e" };
--- a/test/programs/versions_test.ts
+++ b/test/programs/versions_test.ts
@@ -13,7 +13,7 @@
 import { GatewaySchema } from "../../src/settings/mod.ts";
 
 function page(settings: string, routes: number, refused = 0): string {
-  return new Metrics().page({
+  return new Metrics().render({
     settings_age_seconds: 5,
     settings_reloads_refused: refused,
     routes_version: routes,
@@ -40,7 +40,7 @@
 });
 
 test("returns undefined for a metrics page without versions", () => {
-  assert.equal(parseHostVersions("a:1", new Metrics().page({})), undefined);
+  assert.equal(parseHostVersions("a:1", new Metrics().render({})), undefined);
 });
 
 function settingsOf(change: object, hostId: string) {
--- a/test/property/invariants.ts
+++ b/test/property/invariants.ts
@@ -1,12 +1,12 @@
 /** The promises, as checks on a fake fleet. */
 import { Ran, setupOf } from "../../src/core/mod.ts";
 import { readRows } from "../../src/standins/platform/model.ts";
-import type { Got } from "../fake/callers.ts";
-import type { Fleet } from "../fake/fleet.ts";
+import type { CallRecord } from "../fake/callers.ts";
+import type { FakeFleet } from "../fake/fleet.ts";
 import { answerFault, runsOf, wordsFault } from "../scenario/expectations.ts";
 
 /** Notes each fall of a settings version on a running host. */
-export function watchSettings(fleet: Fleet, faults: string[]): void {
+export function watchSettings(fleet: FakeFleet, faults: string[]): void {
   const seen = new Map<string, number>();
   fleet.onStep = (host) => {
     const run = `${host.id}/${host.incarnation}`;
@@ -20,7 +20,10 @@
 }
 
 /** Everything that must hold when all faults have long ended. */
-export function checkEnd(fleet: Fleet, calls: readonly Got[]): string[] {
+export function checkEnd(
+  fleet: FakeFleet,
+  calls: readonly CallRecord[],
+): string[] {
   return [
     ...heldMemory(fleet),
     ...answeredOnce(calls),
@@ -34,15 +37,15 @@
   ];
 }
 
-function heldMemory(fleet: Fleet): string[] {
+function heldMemory(fleet: FakeFleet): string[] {
   return [...fleet.upstreams.values()]
     .filter((one) => one.held().length > 0)
-    .map((one) => `${one.laid.id} still holds ${one.held().join(" ")}`);
+    .map((one) => `${one.layout.id} still holds ${one.held().join(" ")}`);
 }
 
-function answeredOnce(calls: readonly Got[]): string[] {
+function answeredOnce(calls: readonly CallRecord[]): string[] {
   const whole = new Map<string, number>();
-  for (const { call, whole: its } of calls) {
+  for (const { call, isComplete: its } of calls) {
     const key = call.callerKey ?? "";
     if (its) whole.set(key, (whole.get(key) ?? 0) + 1);
   }
@@ -51,19 +54,22 @@
     .map(([key, count]) => `${key} was answered ${count} times`);
 }
 
-function wholeAndOwn(calls: readonly Got[]): string[] {
+function wholeAndOwn(calls: readonly CallRecord[]): string[] {
   return calls.flatMap((got) => {
     const plain = got.call.kind === "plain";
-    if (!got.whole && plain) return [];
-    const fault = got.whole ? answerFault(got) : wordsFault(got);
+    if (!got.isComplete && plain) return [];
+    const fault = got.isComplete ? answerFault(got) : wordsFault(got);
     return fault === undefined ? [] : [`${got.id} got ${fault}`];
   });
 }
 
-function notRunIsTrue(fleet: Fleet, calls: readonly Got[]): string[] {
+function notRunIsTrue(
+  fleet: FakeFleet,
+  calls: readonly CallRecord[],
+): string[] {
   const started = new Set<string>();
   for (const upstream of fleet.upstreams.values()) {
-    for (const attempt of upstream.startedEver.keys()) {
+    for (const attempt of upstream.startCounts.keys()) {
       started.add(attempt.split("/").slice(0, 3).join("/"));
     }
   }
@@ -72,7 +78,7 @@
     .map((got) => `${got.id} was told "not run" (${got.error}) and ran`);
 }
 
-function onceAtMost(fleet: Fleet, calls: readonly Got[]): string[] {
+function onceAtMost(fleet: FakeFleet, calls: readonly CallRecord[]): string[] {
   const texts = new Set(
     calls.filter((got) => got.call.once).map((got) => got.call.text),
   );
@@ -81,13 +87,15 @@
     .map((text) => `${text} ran ${runsOf({ fleet }, text)} times`);
 }
 
-function settled(calls: readonly Got[]): string[] {
+function settled(calls: readonly CallRecord[]): string[] {
   return calls
-    .filter((got) => got.endedAt === undefined && !got.gone && !got.broken)
+    .filter((got) =>
+      got.endedAt === undefined && !got.isCancelled && !got.isInterrupted
+    )
     .map((got) => `${got.id} has no answer`);
 }
 
-function settingsInForce(fleet: Fleet): string[] {
+function settingsInForce(fleet: FakeFleet): string[] {
   const rows = readRows(fleet.platform, "settings/customer/armor", 0);
   const row = JSON.parse(rows[0]?.value ?? "{}") as {
     parameters: { priority?: number };
@@ -100,16 +108,16 @@
 }
 
 /** No order of an earlier lease's holder is taken after a later one's. */
-function ordersFenced(fleet: Fleet): string[] {
+function ordersFenced(fleet: FakeFleet): string[] {
   return [...fleet.upstreams.values()]
     .filter(({ orders }) =>
       orders.some((one, place) => one.fence < (orders[place - 1]?.fence ?? 0))
     )
-    .map((one) => `${one.laid.id} took an order of an earlier holder`);
+    .map((one) => `${one.layout.id} took an order of an earlier holder`);
 }
 
 /** Tables must not grow: what is done with is forgotten. */
-function nothingLeft(fleet: Fleet): string[] {
+function nothingLeft(fleet: FakeFleet): string[] {
   return [...fleet.hosts.values()].flatMap(({ id, world }) => {
     const tables = {
       requests: world.requests.size,
--- a/test/property/play.ts
+++ b/test/property/play.ts
@@ -1,11 +1,11 @@
 /** Plays a schedule in a fake fleet and gives every broken promise. */
 import type { Options } from "../../src/core/mod.ts";
 import { putHosts, writeRows } from "../../src/standins/platform/model.ts";
-import type { Got } from "../fake/callers.ts";
-import { Fleet } from "../fake/fleet.ts";
+import type { CallRecord } from "../fake/callers.ts";
+import { FakeFleet } from "../fake/fleet.ts";
 import { smallLayout } from "../fake/layout.ts";
 import { PLATFORM } from "../fake/network.ts";
-import { customer } from "../fake/seed_rows.ts";
+import { customerRow } from "../fake/seed_rows.ts";
 import { checkEnd, watchSettings } from "./invariants.ts";
 import type { Happening, Timed } from "./schedule.ts";
 
@@ -19,12 +19,12 @@
 export function play(
   schedule: readonly Timed[],
   options: Partial<Options> = {},
-  more: (fleet: Fleet, calls: readonly Got[]) => string[] = () => [],
+  more: (fleet: FakeFleet, calls: readonly CallRecord[]) => string[] = () => [],
 ): string[] {
-  const fleet = new Fleet({ layout: smallLayout(2), seed: 11, options });
+  const fleet = new FakeFleet({ layout: smallLayout(2), seed: 11, options });
   const faults: string[] = [];
   watchSettings(fleet, faults);
-  const calls: Got[] = [];
+  const calls: CallRecord[] = [];
   const ordered = [...schedule].sort((a, b) => a.at - b.at);
   for (const { at, what } of ordered) {
     fleet.queue.push(at, () => happen(fleet, calls, what));
@@ -35,14 +35,14 @@
   return faults;
 }
 
-function happen(fleet: Fleet, calls: Got[], what: Happening): void {
+function happen(fleet: FakeFleet, calls: CallRecord[], what: Happening): void {
   switch (what.type) {
     case "call":
       calls.push(makeCall(fleet, what));
       return;
     case "hangUp": {
       const got = calls[what.call];
-      if (got) fleet.hangUp(got);
+      if (got) fleet.cancelCall(got);
       return;
     }
     case "kill": {
@@ -53,15 +53,15 @@
     }
     case "freeze": {
       const { id } = nth(fleet.hosts, what.host);
-      fleet.freeze(id, true);
-      fleet.after(what.spanMs, () => fleet.freeze(id, false));
+      fleet.setSuspended(id, true);
+      fleet.after(what.spanMs, () => fleet.setSuspended(id, false));
       return;
     }
     case "cut": {
       const [a, b] = [PLACES[what.a] ?? "", PLACES[what.b] ?? ""];
       if (a === b) return;
       fleet.network.cut(a, b);
-      fleet.after(what.spanMs, () => fleet.network.heal(a, b));
+      fleet.after(what.spanMs, () => fleet.network.restore(a, b));
       return;
     }
     default:
@@ -70,7 +70,7 @@
 }
 
 function happenOutside(
-  fleet: Fleet,
+  fleet: FakeFleet,
   what: Exclude<Happening, {
     type: "call" | "hangUp" | "kill" | "freeze" | "cut";
   }>,
@@ -88,7 +88,7 @@
       return;
     case "upstreamDies": {
       const upstream = nth(fleet.upstreams, what.upstream);
-      if (upstream.alive) upstream.die();
+      if (upstream.alive) upstream.crash();
       return fleet.after(what.backMs, () => {
         if (!upstream.alive) upstream.restart();
       });
@@ -98,13 +98,13 @@
         what.spanMs;
       return;
     case "loseCancels":
-      nth(fleet.upstreams, what.upstream).loseCancels += what.count;
+      nth(fleet.upstreams, what.upstream).cancelsToDrop += what.count;
       return;
     case "dropCache":
-      nth(fleet.upstreams, what.upstream).dropCacheShare = 0.5;
+      nth(fleet.upstreams, what.upstream).cacheEventLossRate = 0.5;
       return;
     case "stop": {
-      const { id } = nth(fleet.upstreams, what.upstream).laid;
+      const { id } = nth(fleet.upstreams, what.upstream).layout;
       const key = `settings/stop/${id}`;
       if (fleet.platform.rows.get(key)?.value) return;
       writeRows(platform, [{ key, value: "{}" }]);
@@ -119,7 +119,7 @@
     }
     case "publish": {
       const { priority } = what;
-      writeRows(platform, [customer("armor", { priority })]);
+      writeRows(platform, [customerRow("armor", { priority })]);
       return;
     }
   }
@@ -133,9 +133,9 @@
 }
 
 function makeCall(
-  fleet: Fleet,
+  fleet: FakeFleet,
   what: Extract<Happening, { type: "call" }>,
-): Got {
+): CallRecord {
   const { id } = nth(fleet.hosts, what.host);
   const { once, stream, promptTokens, outputTokens } = what;
   const callerKey = `${once ? "once" : "key"}-${what.key}`;
@@ -153,17 +153,17 @@
   });
 }
 
-function healAll(fleet: Fleet): void {
-  fleet.network.healAll();
+function healAll(fleet: FakeFleet): void {
+  fleet.network.restoreAll();
   fleet.platform.down = false;
   fleet.platform.slowMs = 0;
   putHosts(fleet.platform, fleet.platform.list.entries);
   for (const host of fleet.hosts.values()) {
     if (!host.alive) fleet.start(host.id);
-    if (host.frozen) fleet.freeze(host.id, false);
+    if (host.isSuspended) fleet.setSuspended(host.id, false);
   }
   for (const upstream of fleet.upstreams.values()) {
     if (!upstream.alive) upstream.restart();
-    upstream.loseCancels = 0;
+    upstream.cancelsToDrop = 0;
   }
 }
--- a/test/property/stops_test.ts
+++ b/test/property/stops_test.ts
@@ -3,8 +3,8 @@
 import assert from "node:assert/strict";
 import fc from "fast-check";
 import { ErrorKind } from "../../src/core/mod.ts";
-import type { Got } from "../fake/callers.ts";
-import type { Fleet } from "../fake/fleet.ts";
+import type { CallRecord } from "../fake/callers.ts";
+import type { FakeFleet } from "../fake/fleet.ts";
 import { play } from "./play.ts";
 import { calmSchedules, type Timed } from "./schedule.ts";
 
@@ -22,7 +22,7 @@
   ErrorKind.claimTaken,
 ];
 
-function stopFaults(fleet: Fleet, schedule: readonly Timed[]): string[] {
+function stopFaults(fleet: FakeFleet, schedule: readonly Timed[]): string[] {
   const ids = [...fleet.upstreams.keys()];
   const taken = new Map<string, number>();
   const faults: string[] = [];
@@ -39,7 +39,7 @@
   return faults;
 }
 
-function cutFaults(calls: readonly Got[]): string[] {
+function cutFaults(calls: readonly CallRecord[]): string[] {
   return calls
     .filter((got) => got.error !== undefined && !REFUSALS.includes(got.error))
     .map((got) => `${got.id} was cut: ${got.error}`);
--- a/test/scenario/actions.ts
+++ b/test/scenario/actions.ts
@@ -1,24 +1,24 @@
 /** What a scenario can make happen. */
 import type { ListEntry, Options } from "../../src/core/mod.ts";
 import { checkCustomer } from "../../src/operators/checks.ts";
-import { publish, type Published } from "../../src/operators/publish.ts";
+import { publish, type PublishOutcome } from "../../src/operators/publish.ts";
 import type { Store, StoredRow } from "../../src/operators/store.ts";
 import {
   putHosts,
   readRows,
   writeRows,
 } from "../../src/standins/platform/model.ts";
-import type { Call, Got } from "../fake/callers.ts";
-import { Fleet } from "../fake/fleet.ts";
+import type { Call, CallRecord } from "../fake/callers.ts";
+import { FakeFleet } from "../fake/fleet.ts";
 import { smallLayout } from "../fake/layout.ts";
 import { type Line, timeOf } from "./parse.ts";
 
 /** What a running scenario knows. */
 export type Stage = {
-  fleet: Fleet;
-  readonly calls: Map<string, Got>;
+  fleet: FakeFleet;
+  readonly calls: Map<string, CallRecord>;
   readonly edits: Map<string, StoredRow | undefined>;
-  readonly published: Map<string, Published>;
+  readonly published: Map<string, PublishOutcome>;
   readonly options: Partial<Options>;
 };
 
@@ -33,8 +33,8 @@
   };
 }
 
-function newFleet(hostsPerHall: number, options: Partial<Options>): Fleet {
-  return new Fleet({ layout: smallLayout(hostsPerHall), seed: 7, options });
+function newFleet(hostsPerHall: number, options: Partial<Options>): FakeFleet {
+  return new FakeFleet({ layout: smallLayout(hostsPerHall), seed: 7, options });
 }
 
 type Action = (
@@ -53,13 +53,13 @@
     stage.fleet = newFleet(2, { ...stage.options, poolUpstreams });
   },
   call: (stage, words) => makeCall(stage, words),
-  cancel: (stage, [name]) => stage.fleet.hangUp(callNamed(stage, name)),
+  cancel: (stage, [name]) => stage.fleet.cancelCall(callNamed(stage, name)),
   kill: (stage, [host]) => stage.fleet.kill(host ?? ""),
   start: (stage, [host]) => stage.fleet.start(host ?? ""),
-  freeze: (stage, [host]) => stage.fleet.freeze(host ?? "", true),
-  thaw: (stage, [host]) => stage.fleet.freeze(host ?? "", false),
+  freeze: (stage, [host]) => stage.fleet.setSuspended(host ?? "", true),
+  thaw: (stage, [host]) => stage.fleet.setSuspended(host ?? "", false),
   cut: ({ fleet }, [a, b]) => fleet.network.cut(a ?? "", b ?? ""),
-  heal: ({ fleet }, [a, b]) => fleet.network.heal(a ?? "", b ?? ""),
+  heal: ({ fleet }, [a, b]) => fleet.network.restore(a ?? "", b ?? ""),
   platform: (stage, words, line) => changePlatform(stage, words, line),
   upstream: (stage, words, line) => changeUpstream(stage, words, line),
   stop: (stage, [upstream]) => planStop(stage, upstream ?? "", true),
@@ -70,7 +70,7 @@
 };
 
 /** The call of that name. */
-export function callNamed(stage: Stage, name: string | undefined): Got {
+export function callNamed(stage: Stage, name: string | undefined): CallRecord {
   const got = stage.calls.get(name ?? "");
   if (!got) throw new Error(`no call named "${name}"`);
   return got;
@@ -147,7 +147,7 @@
   const upstream = fleet.upstream(name ?? "");
   switch (what) {
     case "dies":
-      return upstream.die();
+      return upstream.crash();
     case "restarts":
       return upstream.restart();
     case "leaves":
@@ -163,10 +163,10 @@
       upstream.checksOrders = false;
       return changeEntry(fleet, name, { checksOrders: false });
     case "loses-cancels":
-      upstream.loseCancels = Number(word);
+      upstream.cancelsToDrop = Number(word);
       return;
     case "drops-cache-events":
-      upstream.dropCacheShare = Number(word);
+      upstream.cacheEventLossRate = Number(word);
       return;
     default:
       throw new Error(`line ${line.number}: an upstream can't "${what}"`);
@@ -174,7 +174,7 @@
 }
 
 function changeEntry(
-  fleet: Fleet,
+  fleet: FakeFleet,
   name: string | undefined,
   change: Partial<ListEntry>,
 ): void {
--- a/test/scenario/expectations.ts
+++ b/test/scenario/expectations.ts
@@ -1,7 +1,7 @@
 /** What a scenario can expect. */
 import { setupOf } from "../../src/core/mod.ts";
 import { plainAnswer } from "../../src/standins/plain/model.ts";
-import type { Got } from "../fake/callers.ts";
+import type { CallRecord } from "../fake/callers.ts";
 import { callNamed, type Stage } from "./actions.ts";
 
 /** The reason why it does not hold; undefined when it does. */
@@ -14,24 +14,24 @@
 export const EXPECTATIONS: Readonly<Record<string, Expectation>> = {
   answered: (stage, [name]) => {
     const got = callNamed(stage, name);
-    if (!got.whole) return `not whole (${got.error ?? "no end"})`;
+    if (!got.isComplete) return `not whole (${got.error ?? "no end"})`;
     return answerFault(got);
   },
   "one-attempt": (stage, [name]) => wordsFault(callNamed(stage, name)),
   error: (stage, [name, kind]) => {
     const got = callNamed(stage, name);
-    return same(got.error ?? (got.whole ? "whole" : "no end"), kind);
+    return same(got.error ?? (got.isComplete ? "whole" : "no end"), kind);
   },
   ran: (stage, [name, ...words]) =>
     same(callNamed(stage, name).ran ?? "", words.join(" ")),
   "answered-at-most-once": (stage, [key]) => {
     const whole = [...stage.calls.values()]
-      .filter((one) => one.call.callerKey === key && one.whole);
+      .filter((one) => one.call.callerKey === key && one.isComplete);
     return whole.length <= 1 ? undefined : `${whole.length} whole answers`;
   },
   within: (stage, [name, limit]) => {
     const got = callNamed(stage, name);
-    const span = (got.endedAt ?? Infinity) - got.at;
+    const span = (got.endedAt ?? Infinity) - got.sentAt;
     return span <= Number(limit) ? undefined : `took ${span} ms`;
   },
   "come-back": (stage, [name]) => {
@@ -42,7 +42,7 @@
     if (what !== "nothing") return `expected "nothing", got "${what}"`;
     const holding = [...stage.fleet.upstreams.values()]
       .filter((one) => one.held().length > 0)
-      .map((one) => `${one.laid.id}: ${one.held().join(" ")}`);
+      .map((one) => `${one.layout.id}: ${one.held().join(" ")}`);
     return holding.length === 0 ? undefined : holding.join("; ");
   },
   runs: (stage, [text, count]) => {
@@ -65,8 +65,10 @@
   },
   prefills: (stage, [service, count]) => {
     const prefills = [...stage.fleet.upstreams.values()]
-      .filter(({ laid }) => laid.service === service)
-      .filter(({ laid, engine }) => (engine.role ?? laid.role) === "prefill");
+      .filter(({ layout: laid }) => laid.service === service)
+      .filter(({ layout: laid, engine }) =>
+        (engine.role ?? laid.role) === "prefill"
+      );
     return same(String(prefills.length), count);
   },
   "orders-by": (stage, [upstream, ...hosts]) => {
@@ -78,7 +80,7 @@
     const wrong = [...stage.fleet.upstreams.values()].filter(({ orders }) =>
       orders.some((one, place) => one.fence < (orders[place - 1]?.fence ?? 0))
     );
-    return wrong.length === 0 ? undefined : wrong[0]?.laid.id;
+    return wrong.length === 0 ? undefined : wrong[0]?.layout.id;
   },
   "lease-of": ({ fleet }, [pool, host]) => {
     const row = fleet.platform.rows.get(`leases/region/${pool}`);
@@ -93,8 +95,8 @@
   priority: (stage, words) => expectPriority(stage, words),
   "all-settled": (stage) => {
     const open = [...stage.calls]
-      .filter(([, got]) => got.endedAt === undefined && !got.gone)
-      .filter(([, got]) => !got.broken)
+      .filter(([, got]) => got.endedAt === undefined && !got.isCancelled)
+      .filter(([, got]) => !got.isInterrupted)
       .map(([name]) => name);
     return open.length === 0 ? undefined : `open: ${open.join(" ")}`;
   },
@@ -105,7 +107,7 @@
 }
 
 /** Why a call's answer is not whole and its own; undefined when it is. */
-export function answerFault(got: Got): string | undefined {
+export function answerFault(got: CallRecord): string | undefined {
   const { text, kind, outputTokens = 40 } = got.call;
   if (kind === "plain") {
     return got.text === plainAnswer(text) ? undefined : "not its own answer";
@@ -116,7 +118,7 @@
 }
 
 /** Why what a call got is not part of one attempt's answer to it. */
-export function wordsFault(got: Got): string | undefined {
+export function wordsFault(got: CallRecord): string | undefined {
   const words = got.text.split(" ").slice(0, -1);
   const marks = new Set(words.map((word) => word.split("~")[1]));
   if (marks.size > 1) return "words of several attempts";
@@ -130,7 +132,7 @@
 export function runsOf(stage: Pick<Stage, "fleet">, text: string): number {
   let runs = 0;
   for (const upstream of stage.fleet.upstreams.values()) {
-    runs += upstream.ranEver.get(text) ?? 0;
+    runs += upstream.plainRunCounts.get(text) ?? 0;
   }
   return runs;
 }
@@ -141,7 +143,7 @@
   [customer = "", number, , ...names]: readonly string[],
 ): string | undefined {
   const hosts = [...stage.fleet.hosts.values()]
-    .filter((host) => host.alive && !host.frozen)
+    .filter((host) => host.alive && !host.isSuspended)
     .filter((host) => names.length === 0 || names.includes(host.id));
   const wrong = hosts.flatMap((host) => {
     const setup = setupOf(host.world.settings, customer);
--- a/test/settings/load_test.ts
+++ b/test/settings/load_test.ts
@@ -4,7 +4,7 @@
 import * as z from "zod";
 import {
   checkSettings,
-  faultLine,
+  formatFault,
   RouterSchema,
 } from "../../src/settings/mod.ts";
 import { duration, size } from "../../src/settings/units.ts";
@@ -38,14 +38,14 @@
     "limits.body",
     "listen.callers",
   ]);
-  const lines = faults.map(faultLine).join("\n");
+  const lines = faults.map(formatFault).join("\n");
   assert.match(lines, /^f\.toml: host\.id: expected a name/);
 });
 
 test("invalid TOML is reported with its location", () => {
   const faults = checkSettings("f", "[host", RouterSchema).val;
   assert.ok(Array.isArray(faults));
-  assert.match(faults.map(faultLine).join("\n"), /TOML \(/);
+  assert.match(faults.map(formatFault).join("\n"), /TOML \(/);
 });
 
 test("a number without a unit is rejected as a duration and as a size", () => {
--- a/test/soak/callers.ts
+++ b/test/soak/callers.ts
@@ -1,7 +1,7 @@
 /** Callers that send requests in a loop and record the results. */
 import { Agent, type IncomingMessage, request } from "node:http";
 import { type RandomGenerator } from "pure-rand";
-import { draw } from "../../src/util/chance.ts";
+import { randomInt } from "../../src/util/random.ts";
 
 /** The route that a request uses. */
 export const CallKind = {
@@ -81,16 +81,16 @@
   for (let round = 0; !options.isStopped() && sent < maxRequests; round++) {
     const inRotation = hosts.filter((host) => options.isInRotation(host.name));
     const candidates = inRotation.length > 0 ? inRotation : hosts;
-    const host = candidates[draw(random, candidates.length)];
+    const host = candidates[randomInt(random, candidates.length)];
     if (!host) return;
     const agent = new Agent({ keepAlive: true, maxSockets: 1 });
     for (let count = 0; count < REQUESTS_PER_CONNECTION; count++) {
       if (options.isStopped() || sent >= maxRequests) break;
       sent += 1;
-      const kind = kinds[draw(random, kinds.length)] ?? CallKind.safe;
+      const kind = kinds[randomInt(random, kinds.length)] ?? CallKind.safe;
       const id = `${name}-${round}-${count}`;
       const abortsEarly = maxRequests === Infinity &&
-        draw(random, ABORT_ONE_IN) === 0;
+        randomInt(random, ABORT_ONE_IN) === 0;
       const result = await callOnce({
         agent,
         host,
--- a/test/soak/checks.ts
+++ b/test/soak/checks.ts
@@ -8,9 +8,9 @@
   STREAM_EVENTS,
 } from "../platform/replica_standin.ts";
 import { CallKind, type CallResult } from "./callers.ts";
-import { LIMIT_SPAN_MS, mostAllowed } from "../platform/rate_windows.ts";
+import { LIMIT_WINDOW_MS, maxAllowed } from "../platform/rate_windows.ts";
 import { findBackoffViolations, findSendsAfterDrainNotice } from "./notices.ts";
-import { findForwardedRequests } from "./sent.ts";
+import { findForwardedRequests } from "./forwarded_requests.ts";
 import { type LimitInterval, ROUTE_TIMEOUT_MS } from "./world.ts";
 import type { Exit } from "./gateway_process.ts";
 
@@ -256,9 +256,9 @@
       const atMs of times.filter((time) => time >= fromMs + PROPAGATION_MS)
     ) {
       const inWindow = times.filter((time) =>
-        time <= atMs && time >= atMs - LIMIT_SPAN_MS
+        time <= atMs && time >= atMs - LIMIT_WINDOW_MS
       );
-      if (inWindow.length <= mostAllowed(perSecond)) continue;
+      if (inWindow.length <= maxAllowed(perSecond)) continue;
       const detail = `${replica} at ${text}: ${inWindow.length} requests`;
       found.push({ rule: "limits of replicas hold", detail });
       break;
--- a/test/soak/crashing_request_test.ts
+++ b/test/soak/crashing_request_test.ts
@@ -17,7 +17,7 @@
   readRoutesVersion,
   stopHosts,
 } from "./fleet.ts";
-import { sleep } from "./strike.ts";
+import { sleep } from "./inject_fault.ts";
 import { World } from "./world.ts";
 
 const HOSTS = 4;
--- a/test/soak/leaving_answer_test.ts
+++ b/test/soak/draining_response_test.ts
@@ -8,8 +8,8 @@
 import { StoreMode } from "../platform/store_standin.ts";
 import { CallKind } from "./callers.ts";
 import { findSendsAfterDrainNotice } from "./notices.ts";
-import { findForwardedRequests } from "./sent.ts";
-import { oneOfEachRole, runCallers, withFleet } from "./stage.ts";
+import { findForwardedRequests } from "./forwarded_requests.ts";
+import { oneOfEachRole, runCallers, withFleet } from "./test_fleet.ts";
 
 const WARM_UP_MS = 1000;
 const DRAINING_MS = 6000;
@@ -25,8 +25,8 @@
     const draining = oneOfEachRole(fleet);
     assert.equal(draining.length, 3);
     await runCallers(fleet, { kinds: ALL_KINDS, forMs: WARM_UP_MS });
-    world.store.mode = StoreMode.silent;
-    for (const standin of draining) standin.leaving = true;
+    world.store.mode = StoreMode.unresponsive;
+    for (const standin of draining) standin.draining = true;
     const from = performance.now();
     const results = await runCallers(fleet, {
       kinds: ALL_KINDS,
@@ -57,7 +57,7 @@
       .filter(({ standin }) => standin.role === "plain");
     const kinds = [CallKind.safe];
     await runCallers(fleet, { kinds, forMs: WARM_UP_MS });
-    for (const { standin } of plain) standin.leaving = true;
+    for (const { standin } of plain) standin.draining = true;
     const results = await runCallers(fleet, { kinds, forMs: DRAINING_MS });
     assert.deepEqual(
       findSendsAfterDrainNotice(
--- a/test/soak/strike.ts
+++ b/test/soak/inject_fault.ts
@@ -176,10 +176,10 @@
       store.mode = StoreMode.down;
       return recover;
     case FaultKind.storeSilent:
-      store.mode = StoreMode.silent;
+      store.mode = StoreMode.unresponsive;
       return recover;
     case FaultKind.storeLosesResponses:
-      store.mode = StoreMode.lost;
+      store.mode = StoreMode.responseLost;
       return recover;
     case FaultKind.storeSlow:
       store.delayMs = STORE_SLOW_MS;
@@ -210,7 +210,7 @@
   const { store } = world;
   const copy = store.copy();
   // Otherwise the counter soon passes the position from before the restore.
-  if (hasOutage) store.pass(LOST_WRITES);
+  if (hasOutage) store.advanceRevision(LOST_WRITES);
   return async () => {
     if (hasOutage) {
       store.mode = StoreMode.down;
--- a/test/soak/notices.ts
+++ b/test/soak/notices.ts
@@ -2,7 +2,7 @@
  * Finds requests that hosts sent despite a drain or backoff notice; pure
  * functions.
  */
-import type { ForwardedRequest } from "./sent.ts";
+import type { ForwardedRequest } from "./forwarded_requests.ts";
 
 /** After this time a host sends the replica no request that a caller sends. */
 const DRAIN_MS = 2000;
--- a/test/soak/replica_backoff_test.ts
+++ b/test/soak/replica_backoff_test.ts
@@ -7,8 +7,8 @@
 import { knownRed } from "../known_red.ts";
 import { CallKind } from "./callers.ts";
 import { findBackoffViolations } from "./notices.ts";
-import { findForwardedRequests } from "./sent.ts";
-import { oneOfEachRole, runCallers, withFleet } from "./stage.ts";
+import { findForwardedRequests } from "./forwarded_requests.ts";
+import { oneOfEachRole, runCallers, withFleet } from "./test_fleet.ts";
 
 const WARM_UP_MS = 1000;
 /** Younger hosts get no share of the retry budget. */
--- a/test/soak/run.ts
+++ b/test/soak/run.ts
@@ -23,7 +23,7 @@
   stopHosts,
 } from "./fleet.ts";
 import { FaultKind, type Schedule } from "./schedule.ts";
-import { injectFault, sleep } from "./strike.ts";
+import { injectFault, sleep } from "./inject_fault.ts";
 import { CRASHING_BODY } from "../platform/replica_standin.ts";
 import { World } from "./world.ts";
 
--- a/test/soak/schedule.ts
+++ b/test/soak/schedule.ts
@@ -1,6 +1,6 @@
 /** Draws the faults of a soak run from a seed; pure functions. */
 import { type RandomGenerator, xoroshiro128plus } from "pure-rand";
-import { draw } from "../../src/util/chance.ts";
+import { randomInt } from "../../src/util/random.ts";
 
 /** Kinds of faults; the values appear in the soak's output. */
 export const FaultKind = {
@@ -142,9 +142,9 @@
   const random = xoroshiro128plus(options.seed + LATER_SEED);
   const faults = drawFaults(random, options, {
     kinds: LATER_KINDS,
-    count: draw(random, LATER_FAULT_RANGE),
+    count: randomInt(random, LATER_FAULT_RANGE),
   });
-  const hasCrashingCaller = draw(random, CRASHING_ONE_IN) === 0;
+  const hasCrashingCaller = randomInt(random, CRASHING_ONE_IN) === 0;
   const restores = drawRestores(options);
   const limits = drawLimits(options);
   const notices = drawNotices(options);
@@ -157,27 +157,30 @@
 
 function drawRestores(options: ScheduleOptions): Fault[] {
   const random = xoroshiro128plus(options.seed + RESTORE_SEED);
-  const count = draw(random, RESTORE_RANGE);
+  const count = randomInt(random, RESTORE_RANGE);
   return drawFaults(random, options, { kinds: RESTORE_KINDS, count });
 }
 
 function drawLimits(options: ScheduleOptions): Fault[] {
   const random = xoroshiro128plus(options.seed + LIMIT_SEED);
-  const count = draw(random, LIMIT_RANGE);
+  const count = randomInt(random, LIMIT_RANGE);
   return drawFaults(random, options, { kinds: LIMIT_KINDS, count })
     .map((fault) => ({
       ...fault,
-      durationMs: MIN_DURATION_MS + draw(random, LIMIT_DURATION_RANGE_MS),
+      durationMs: MIN_DURATION_MS + randomInt(random, LIMIT_DURATION_RANGE_MS),
     }));
 }
 
 function drawNotices(options: ScheduleOptions): Fault[] {
   const random = xoroshiro128plus(options.seed + NOTICE_SEED);
-  const count = draw(random, NOTICE_RANGE);
+  const count = randomInt(random, NOTICE_RANGE);
   const faults = drawFaults(random, options, { kinds: NOTICE_KINDS, count });
   return faults.map((fault) =>
     fault.kind === FaultKind.replicaDrainByResponse
-      ? { ...fault, durationMs: MIN_DRAIN_MS + draw(random, DRAIN_RANGE_MS) }
+      ? {
+        ...fault,
+        durationMs: MIN_DRAIN_MS + randomInt(random, DRAIN_RANGE_MS),
+      }
       : fault
   );
 }
@@ -186,10 +189,10 @@
   { seed, windowMs }: ScheduleOptions,
 ): Schedule {
   const random = xoroshiro128plus(seed);
-  const isPlannedOnly = draw(random, PLANNED_ONE_IN) === 0;
+  const isPlannedOnly = randomInt(random, PLANNED_ONE_IN) === 0;
   const kinds = isPlannedOnly ? PLANNED_KINDS : FIRST_KINDS;
-  const hosts = MIN_HOSTS + draw(random, HOST_RANGE);
-  const count = MIN_FAULTS + draw(random, FAULT_RANGE);
+  const hosts = MIN_HOSTS + randomInt(random, HOST_RANGE);
+  const count = MIN_FAULTS + randomInt(random, FAULT_RANGE);
   const faults = drawFaults(random, { windowMs }, { kinds, count });
   const callers = hosts * CALLERS_PER_HOST;
   return {
@@ -211,10 +214,10 @@
   },
 ): Fault[] {
   const faults = Array.from({ length: count }, () => ({
-    kind: kinds[draw(random, kinds.length)] ?? FaultKind.config,
-    atMs: draw(random, windowMs),
-    durationMs: MIN_DURATION_MS + draw(random, DURATION_RANGE_MS),
-    target: draw(random, 1000),
+    kind: kinds[randomInt(random, kinds.length)] ?? FaultKind.config,
+    atMs: randomInt(random, windowMs),
+    durationMs: MIN_DURATION_MS + randomInt(random, DURATION_RANGE_MS),
+    target: randomInt(random, 1000),
   }));
   return faults.sort((a, b) => a.atMs - b.atMs);
 }
--- a/test/soak/server_limit_test.ts
+++ b/test/soak/server_limit_test.ts
@@ -6,9 +6,9 @@
 import { test } from "node:test";
 import { knownRed } from "../known_red.ts";
 import {
-  LIMIT_SPAN_MS,
-  mostAllowed,
-  mostWithin,
+  LIMIT_WINDOW_MS,
+  maxAllowed,
+  maxWithin,
 } from "../platform/rate_windows.ts";
 import { CallKind } from "./callers.ts";
 import { readGauge } from "./fleet.ts";
@@ -17,7 +17,7 @@
   runCallers,
   type TestFleet,
   withFleet,
-} from "./stage.ts";
+} from "./test_fleet.ts";
 
 const PER_SECOND = 1.4;
 /** The time within which all hosts know a limit that a replica reported. */
@@ -48,9 +48,9 @@
   replica: string,
   range: TimeRange,
 ): void {
-  const most = mostWithin(arrivalsAt(fleet, replica, range), LIMIT_SPAN_MS);
-  const message = `${replica}: ${most} requests within ${LIMIT_SPAN_MS} ms`;
-  assert.ok(most <= mostAllowed(PER_SECOND), message);
+  const most = maxWithin(arrivalsAt(fleet, replica, range), LIMIT_WINDOW_MS);
+  const message = `${replica}: ${most} requests within ${LIMIT_WINDOW_MS} ms`;
+  assert.ok(most <= maxAllowed(PER_SECOND), message);
 }
 
 /** Returns the used share of a replica's rate limit after the settling time. */
--- a/test/soak/stage.ts
+++ b/test/soak/test_fleet.ts
@@ -6,7 +6,7 @@
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 import { xoroshiro128plus } from "pure-rand";
-import { draw } from "../../src/util/chance.ts";
+import { randomInt } from "../../src/util/random.ts";
 import type { ReplicaStandin } from "../platform/replica_standin.ts";
 import { CallKind, type CallResult } from "./callers.ts";
 import {
@@ -16,7 +16,7 @@
   readRoutesVersion,
   stopHosts,
 } from "./fleet.ts";
-import { sleep } from "./strike.ts";
+import { sleep } from "./inject_fault.ts";
 import { World } from "./world.ts";
 
 const HOSTS = 4;
@@ -71,7 +71,7 @@
         const kind = kinds[(at + caller) % kinds.length] ?? CallKind.safe;
         const id = `${kind}-${host.process.name}-${caller}-${at}-${deadline}`;
         results.push(await callHost(host, { id, kind }));
-        await sleep(MIN_PAUSE_MS + draw(random, PAUSE_RANGE_MS));
+        await sleep(MIN_PAUSE_MS + randomInt(random, PAUSE_RANGE_MS));
       }
     })
   );
--- a/test/soak/world.ts
+++ b/test/soak/world.ts
@@ -260,7 +260,7 @@
   async drainByResponse(replica: WorldReplica): Promise<() => void> {
     const { role, id } = replica.standin;
     await this.addReplica(role, replica.hall);
-    replica.standin.leaving = true;
+    replica.standin.draining = true;
     return () => {
       // The replica may have crashed or restarted.
       if (!replica.isReady) return;
