--- a/bench/capacity/sweep.ts
+++ b/bench/capacity/sweep.ts
@@ -35,7 +35,7 @@
 export function readSweep(text: string): Sweep {
   const lines = text.split("\n");
   const head = lines.find((line) => /^\s+\d+(\s+\d+)*\s+power/.test(line));
-  if (head === undefined) throw new Error("Sweep table has no line of sizes");
+  if (head === undefined) throw new Error("No sizes in the table of a sweep");
   const sizes = (head.split("power")[0] ?? "").trim().split(/\s+/).map(Number);
   return {
     sizes,
