--- a/src/gateway/requests/attempts.ts
+++ b/src/gateway/requests/attempts.ts
@@ -44,7 +44,7 @@
   }
 
   /**
-   * Like {@link mayHaveRun}, and also true when the caller resumes a stream that
+   * Like {@link mayHaveRun}, but also true if the caller resumes a stream that
    * it has received in part.
    */
   get mayHaveRunAnywhere(): boolean {
@@ -91,8 +91,8 @@
 
   /**
    * Records that the replica's response was interrupted. A model engine is not
-   * excluded the first time: it caches the prompt, and often only the connection
-   * was lost.
+   * excluded the first time: it caches the prompt, and often only the
+   * connection was lost.
    */
   noteInterrupted({ incarnation, stage }: ReplicaEntry): void {
     const hasPromptCached = stage !== undefined &&
@@ -126,8 +126,8 @@
 
   /**
    * Charges the budget for sending the request itself; false if the budget is
-   * exhausted. The budget counts arrivals at replicas rather than retry decisions:
-   * whatever follows a rejected prefill counts as a retry.
+   * exhausted. The budget counts arrivals at replicas rather than retry
+   * decisions: whatever follows a rejected prefill counts as a retry.
    */
   chargeSend(reason: string): boolean {
     return this.#charge(1, reason);
@@ -140,12 +140,11 @@
 
   /** Charges `count` more arrivals; the first arrival of a request is free. */
   #charge(count: number, reason: string): boolean {
-    const { clock, retryBudget: budget, events, metrics, hostCount } =
-      this.#context;
+    const { clock, retryBudget, events, metrics, hostCount } = this.#context;
     const { facts: { id: request }, service, route } = this.#request;
     const hosts = hostCount();
     while (this.#charged < this.#arrivals + count - 1) {
-      if (budget.acquire(service, hosts, clock.now())) {
+      if (retryBudget.acquire(service, hosts, clock.now())) {
         this.#charged += 1;
         continue;
       }
--- a/src/gateway/requests/engine_placement.ts
+++ b/src/gateway/requests/engine_placement.ts
@@ -1,6 +1,7 @@
 /**
  * Places requests at model engines. Memory at a decode replica is reserved
- * before the prefill, so that no prompt is processed without room for its output.
+ * before the prefill, so that no prompt is processed without room for its
+ * output.
  */
 import type { Milliseconds } from "../../util/units.ts";
 import { sleep } from "../clock.ts";
@@ -101,13 +102,15 @@
     }
   }
 
-  /** Releases all resources of a request that ended while it was being placed. */
+  /** Releases all resources of a request that ended during its placement. */
   #releaseEnded(): PlacementRefusal {
     this.release();
     return { error: GatewayError.noMemory };
   }
 
-  /** Requests assignments until one is usable or the time for placement is over. */
+  /**
+   * Requests assignments until one is usable or the placement deadline passes.
+   */
   async #findAssignment(
     constraints: PlacementConstraints,
   ): Promise<ReplicaChoice | PlacementRefusal> {
@@ -127,10 +130,10 @@
         if (this.#ended) return { error: GatewayError.noMemory };
         continue;
       }
-      const { excluded, nextAvailableMs: nextMs } = available;
+      const { excluded, nextAvailableMs } = available;
       const assignment = await this.#requestAssignment(
         { ...constraints, excluded },
-        nextMs,
+        nextAvailableMs,
       );
       if (assignment === "reopened") continue;
       if ("reason" in assignment) return plannerRefusal(assignment);
@@ -155,11 +158,11 @@
    */
   async #requestAssignment(
     constraints: PlacementConstraints,
-    nextMs: Milliseconds,
+    nextAvailableMs: Milliseconds,
   ): Promise<Assignment | AssignmentRefusal | "reopened"> {
     const { context, planner } = this.#options;
     const id = nextAssignmentId(context);
-    const attempt = { id, whole: this.#localPrefill };
+    const attempt = { id, localPrefill: this.#localPrefill };
     const wait = planner.request(
       placementRequestOf(this.#options, constraints, attempt),
     );
@@ -169,8 +172,8 @@
       isReopened = true;
       wait.cancel();
     };
-    const cancelTimer = Number.isFinite(nextMs)
-      ? context.clock.after(nextMs, reopen)
+    const cancelTimer = Number.isFinite(nextAvailableMs)
+      ? context.clock.after(nextAvailableMs, reopen)
       : () => undefined;
     const assignment = await wait.result;
     cancelTimer();
@@ -179,7 +182,9 @@
     return assignment;
   }
 
-  /** Acquires a send permit; without one, the assignment is released or refused. */
+  /**
+   * Acquires a send permit; if that fails, releases or refuses the assignment.
+   */
   async #acquirePermit(replica: Replica): Promise<SendPermit | undefined> {
     const { context, request } = this.#options;
     const outcome = await context.gate.permit(replica);
@@ -222,9 +227,9 @@
     this.#export = await this.#prefills.run(prefill, hall);
     const spentMs: Milliseconds = context.clock.now() - startedAt;
     if (this.#assignmentId === undefined) return spentMs;
-    const asPlanned = this.#export?.replica === prefill;
+    const usedPlannedReplica = this.#export?.replica === prefill;
     const retryAfterMs = this.#prefills.plannedRetryAfterMs;
-    if (asPlanned) planner.prefilled(this.#assignmentId, spentMs);
+    if (usedPlannedReplica) planner.prefilled(this.#assignmentId, spentMs);
     else if (retryAfterMs === undefined) {
       planner.prefillFailed(this.#assignmentId);
     } else planner.prefillLimited(this.#assignmentId, retryAfterMs);
--- a/src/gateway/requests/engine_request.ts
+++ b/src/gateway/requests/engine_request.ts
@@ -10,8 +10,8 @@
 /** Time needed from an assignment to the caller's first event. */
 const FIRST_EVENT_MS = 600;
 /**
- * Longest retry delay for callers that do not state one. It is about the lifetime
- * of an assignment, after which all memory has been reassigned.
+ * Longest retry delay for callers that do not state one: about the lifetime of
+ * an assignment, within which all memory is reassigned.
  */
 const DEFAULT_MAX_RETRY_MS = 4000;
 
@@ -22,11 +22,11 @@
   readonly engine: Engine;
 };
 
-/** Creates the placement request of one attempt; `whole`: prefill is local. */
+/** Creates the placement request of one attempt. */
 export function placementRequestOf(
   { context, request, engine }: EngineRequestOptions,
   constraints: PlacementConstraints,
-  { id, whole }: { readonly id: string; readonly whole: boolean },
+  { id, localPrefill }: { readonly id: string; readonly localPrefill: boolean },
 ): PlacementRequest {
   const { receivedAt, route, service, facts, priority } = request;
   return {
@@ -40,7 +40,7 @@
     key: facts.promptKey ?? "",
     longestRetryMs: facts.maxRetryAfterMs ?? DEFAULT_MAX_RETRY_MS,
     mayHaveRun: constraints.mayHaveRun,
-    localPrefill: whole,
+    localPrefill,
     excluded: constraints.excluded,
   };
 }
@@ -50,8 +50,8 @@
   { context, request }: Omit<EngineRequestOptions, "engine">,
   { mayHaveRun }: PlacementConstraints,
 ): Milliseconds {
-  const { receivedAt, route, deadline: limitAt } = request;
+  const { receivedAt, route, deadline } = request;
   // The caller's timeout for a started response restarts with each event.
-  const waitsSince = mayHaveRun ? context.clock.now() : receivedAt;
-  return Math.min(limitAt, waitsSince + route.silenceMs) - FIRST_EVENT_MS;
+  const waitStartedAt = mayHaveRun ? context.clock.now() : receivedAt;
+  return Math.min(deadline, waitStartedAt + route.silenceMs) - FIRST_EVENT_MS;
 }
--- a/src/gateway/requests/exchange.ts
+++ b/src/gateway/requests/exchange.ts
@@ -1,7 +1,7 @@
 /**
- * Serves one request from its arrival to its end, one send at a time. A request is
- * sent again only if the previous send is known not to have run, or if the route
- * allows it to run more than once.
+ * Serves one request from its arrival to its end, one send at a time. A request
+ * is sent again only if the previous send is known not to have run, or if the
+ * route allows it to run more than once.
  */
 import type { Milliseconds } from "../../util/units.ts";
 import { GatewayError } from "../answers.ts";
@@ -56,7 +56,7 @@
   #ended = false;
 
   constructor(options: ExchangeOptions) {
-    const { context, request, planner: planner } = options;
+    const { context, request, planner } = options;
     this.#context = context;
     this.#request = request;
     this.#reply = options.reply;
@@ -73,8 +73,8 @@
 
   /** Serves the request; resolves when it has ended. */
   async run(): Promise<void> {
-    const { retryBudget: budget, clock } = this.#context;
-    budget.noteRequest(this.#request.service, clock.now());
+    const { retryBudget, clock } = this.#context;
+    retryBudget.noteRequest(this.#request.service, clock.now());
     while (!this.#ended) await this.#attempt();
   }
 
@@ -128,9 +128,9 @@
   }
 
   /**
-   * Ends a request that is quarantined because it crashes replicas. Called before
-   * placement and again before the send, since the quarantine may begin while the
-   * request waits for an assignment.
+   * Ends a request that is quarantined because it crashes replicas. Called
+   * before placement and again before the send, since the quarantine may begin
+   * while the request waits for an assignment.
    */
   #rejectQuarantined(): boolean {
     const { crashes, clock } = this.#context;
@@ -143,7 +143,7 @@
     return true;
   }
 
-  /** Why a placed request must not be sent, if there is a reason. */
+  /** Returns why a placed request must not be sent; undefined: it may be. */
   #sendObstacle(): GatewayError | undefined {
     if (!this.#attempts.hasTimeLeft) return GatewayError.outOfTimeNotRun;
     const { routes } = this.#context;
@@ -154,7 +154,7 @@
 
   async #send(placed: Placement): Promise<SendResult> {
     const { clock, tuning } = this.#context;
-    const { route, deadline: limitAt } = this.#request;
+    const { route, deadline } = this.#request;
     this.#attempts.noteSent();
     this.#journal.placed(placed, this.#attempts.sends);
     const mayWaitLonger = !this.#attempts.repeatable || this.#attempts.isLast ||
@@ -167,7 +167,7 @@
     this.#sending = sendRequest(this.#context, this.#request, placed.replica, {
       headers: {
         ...placed.headers,
-        timeLeftMs: limitAt - clock.now(),
+        timeLeftMs: deadline - clock.now(),
         ...(lastEventId === undefined ? {} : { lastEventId }),
       },
       permit: placed.permit,
@@ -189,7 +189,7 @@
     else if (notRun) this.#attempts.noteNotRun();
     // If only the export was lost, the same replica can still run the request.
     const exportLost = rejected && !isBackoff && placed.export !== undefined;
-    // A replica that backs off is kept out by the gate for that time only.
+    // The gate excludes a replica that backs off until the backoff ends.
     const mayAccept = exportLost || isBackoff;
     if (!mayAccept) this.#attempts.exclude(placed.replica.entry.incarnation);
     const allowed = notRun || this.#attempts.repeatable;
@@ -242,7 +242,7 @@
   #relay(
     placed: Placement,
     answer: Answer,
-    since: Milliseconds,
+    startedAt: Milliseconds,
   ): Promise<RelayOutcome> {
     const { clock, metrics, tuning } = this.#context;
     const { route, receivedAt } = this.#request;
@@ -252,7 +252,7 @@
       route,
       writeHead: () => this.#writer.writeHead(status, message.rawHeaders),
       onFirstByte: () => {
-        const at = route.kind === RouteKind.streaming ? since : clock.now();
+        const at = route.kind === RouteKind.streaming ? startedAt : clock.now();
         metrics.time(Timing.firstByte, at - receivedAt);
       },
       events: {
--- a/src/gateway/requests/memory.ts
+++ b/src/gateway/requests/memory.ts
@@ -2,7 +2,7 @@
 import type { RequestMetadata } from "../port.ts";
 import type { Engine } from "../routing/model.ts";
 
-/** Share of the output limit to reserve if the caller sends no output hint. */
+/** Share of the output limit to reserve if the caller sends no estimate. */
 const DEFAULT_OUTPUT_SHARE = 0.6;
 
 /** Tokens to reserve for the prompt and the expected output. */
@@ -11,8 +11,8 @@
   engine: Engine,
   outputMargin: number,
 ): number {
-  const { promptTokens, outputLimit, estimatedOutput: outputHint } = facts;
-  const expected = outputHint ?? outputLimit * DEFAULT_OUTPUT_SHARE;
+  const { promptTokens, outputLimit, estimatedOutput } = facts;
+  const expected = estimatedOutput ?? outputLimit * DEFAULT_OUTPUT_SHARE;
   const reserved = Math.min(outputLimit, expected * outputMargin);
   const tokens = Math.ceil(promptTokens + reserved);
   return Math.max(1, Math.min(tokens, engine.cacheTokens));
--- a/src/gateway/requests/placement.ts
+++ b/src/gateway/requests/placement.ts
@@ -34,7 +34,7 @@
 export type PlacementFailure = {
   /** The replica responded that it did not run the request. */
   readonly rejected: boolean;
-  /** The replica asked this host to back off, which hides other causes. */
+  /** The replica requested a backoff, which hides other causes. */
   readonly isBackoff: boolean;
 };
 
@@ -54,7 +54,7 @@
   ): Promise<Placement | PlacementRefusal>;
   /** Releases the last placement, which was not used. */
   release(): void;
-  /** Reports that the replica of the last placement did not serve the request. */
+  /** Reports that the last placement's replica did not serve the request. */
   failed(failure: PlacementFailure): void;
   /** Records that the replica consumed the reservation and the export. */
   consumed(): void;
--- a/src/gateway/requests/plain_placement.ts
+++ b/src/gateway/requests/plain_placement.ts
@@ -1,7 +1,7 @@
 /**
- * Places requests at plain services. The planner knows how many requests the
- * fleet has at each replica. If it does not respond in time, this host chooses a
- * replica by the number of its own calls.
+ * Places requests at plain services. The planner counts the requests that all
+ * hosts have at each replica. If it does not respond in time, this host chooses
+ * a replica by its local count of calls.
  */
 import type { Milliseconds } from "../../util/units.ts";
 import { GatewayError } from "../answers.ts";
@@ -63,7 +63,7 @@
     const { clock, gate } = this.#context;
     const requestedAt = clock.now();
     const tried = new Set(constraints.excluded);
-    let soonestMs = Infinity;
+    let minRetryAfterMs = Infinity;
     for (;;) {
       const available = usableReplicas(this.#context, this.#request, tried);
       if (available.type === "none") {
@@ -73,11 +73,11 @@
       const { excluded } = available;
       const replica = await this.#chooseReplica({ ...constraints, excluded });
       if (this.#ended) return { error: GatewayError.noReplica };
-      if (!replica && Number.isFinite(soonestMs)) {
+      if (!replica && Number.isFinite(minRetryAfterMs)) {
         const retryAfterMs = spreadRetryAfterMs(
           this.#context,
           this.#request,
-          soonestMs,
+          minRetryAfterMs,
         );
         return { error: GatewayError.limited, retryAfterMs };
       }
@@ -100,7 +100,7 @@
       const { retryAfterMs } = outcome;
       this.#noteLimit(replica, retryAfterMs);
       tried.add(replica.entry.incarnation);
-      soonestMs = Math.min(soonestMs, retryAfterMs);
+      minRetryAfterMs = Math.min(minRetryAfterMs, retryAfterMs);
     }
   }
 
@@ -121,10 +121,10 @@
     return this.#chooseLocally(constraints.excluded);
   }
 
-  /** Reports a replica at its rate limit to the planner, which then avoids it. */
+  /** Reports a replica at its rate limit, which the planner then avoids. */
   #noteLimit(replica: Replica, retryAfterMs: Milliseconds): void {
     noteLimit(this.#context, this.#request, { replica, retryAfterMs });
-    const id = this.#takeAssignmentId();
+    const id = this.#clearAssignmentId();
     if (id !== undefined) this.#planner.refused(id, retryAfterMs);
   }
 
@@ -133,7 +133,7 @@
     requestedAt: Milliseconds,
   ): Promise<Assignment | AssignmentRefusal> {
     const { clock } = this.#context;
-    const { service, receivedAt, route, deadline: limitAt, priority, facts } =
+    const { service, receivedAt, route, deadline, priority, facts } =
       this.#request;
     const id = nextAssignmentId(this.#context);
     const wait = this.#planner.request({
@@ -143,10 +143,10 @@
       promptTokens: 0,
       priority,
       dueAt: receivedAt + route.objectiveMs,
-      abandonAt: Math.min(limitAt, requestedAt + PLANNER_TIMEOUT_MS),
+      abandonAt: Math.min(deadline, requestedAt + PLANNER_TIMEOUT_MS),
       key: "",
       longestRetryMs: facts.maxRetryAfterMs ?? DEFAULT_MAX_RETRY_MS,
-      mayHaveRun: mayHaveRun,
+      mayHaveRun,
       localPrefill: true,
       excluded,
     });
@@ -178,12 +178,12 @@
   release(): void {
     this.#permit?.release();
     this.#permit = undefined;
-    const id = this.#takeAssignmentId();
+    const id = this.#clearAssignmentId();
     if (id !== undefined) this.#planner.ended(id);
   }
 
   failed({ rejected }: PlacementFailure): void {
-    const id = this.#takeAssignmentId();
+    const id = this.#clearAssignmentId();
     if (id === undefined) return;
     if (rejected) this.#planner.refused(id);
     else this.#planner.failed(id);
@@ -192,7 +192,7 @@
   consumed(): void {}
 
   completed(): void {
-    const id = this.#takeAssignmentId();
+    const id = this.#clearAssignmentId();
     if (id !== undefined) this.#planner.answered(id);
   }
 
@@ -202,7 +202,8 @@
     this.release();
   }
 
-  #takeAssignmentId(): string | undefined {
+  /** Clears the id of the assignment and returns it. */
+  #clearAssignmentId(): string | undefined {
     const id = this.#assignmentId;
     this.#assignmentId = undefined;
     return id;
--- a/src/gateway/requests/prefill.ts
+++ b/src/gateway/requests/prefill.ts
@@ -65,7 +65,9 @@
     return this.#plannedRetryAfterMs;
   }
 
-  /** Runs the prefill, first at `planned`; undefined if no replica finished it. */
+  /**
+   * Runs the prefill, first at `planned`; undefined if no replica finished it.
+   */
   async run(planned: Replica, hall: string): Promise<Export | undefined> {
     this.#plannedReplica = planned;
     this.#plannedRetryAfterMs = undefined;
@@ -181,7 +183,7 @@
     if (hasArrived) this.#attempts.notePrefill(wasRejected);
   }
 
-  /** Asks the replica to drop an export that no decode replica will use. */
+  /** Drops an export at its replica that no decode replica will use. */
   dropExport(exported: Export): void {
     const { dialect, tuning } = this.#context;
     const call = dialect.dropExport(exported.id);
--- a/src/gateway/requests/refusals.ts
+++ b/src/gateway/requests/refusals.ts
@@ -34,25 +34,28 @@
 /** Requests of a lower priority are treated like those of this rank. */
 const MAX_RANK = 3;
 
-/** Retry delay for a caller whose replicas accept requests after `soonestMs`. */
+/**
+ * Retry delay for a caller whose replicas accept requests after
+ * `minRetryAfterMs`.
+ */
 export function spreadRetryAfterMs(
   { random }: Pick<GatewayContext, "random">,
   { priority }: Pick<GatewayRequest, "priority">,
-  soonestMs: Milliseconds,
+  minRetryAfterMs: Milliseconds,
 ): Milliseconds {
-  const spreadMs = Math.max(MIN_SPREAD_MS, soonestMs * SPREAD_SHARE);
+  const spreadMs = Math.max(MIN_SPREAD_MS, minRetryAfterMs * SPREAD_SHARE);
   const rank = Math.min(MAX_RANK, priority);
-  return soonestMs + spreadMs * (rank + random()) / (MAX_RANK + 1);
+  return minRetryAfterMs + spreadMs * (rank + random()) / (MAX_RANK + 1);
 }
 
-/** Refuses a request whose remaining replicas all asked this host to back off. */
+/** Refuses a request whose remaining replicas all back off. */
 export function backoffRefusal(
   context: Pick<GatewayContext, "random">,
   request: Pick<GatewayRequest, "priority">,
-  soonestMs: Milliseconds,
+  minRetryAfterMs: Milliseconds,
 ): PlacementRefusal {
-  const retryAfterMs = spreadRetryAfterMs(context, request, soonestMs);
-  const basis = { backoff_ms: Math.round(soonestMs) };
+  const retryAfterMs = spreadRetryAfterMs(context, request, minRetryAfterMs);
+  const basis = { backoff_ms: Math.round(minRetryAfterMs) };
   return { error: GatewayError.backingOff, retryAfterMs, basis };
 }
 
--- a/src/gateway/requests/relay.ts
+++ b/src/gateway/requests/relay.ts
@@ -23,7 +23,9 @@
   readonly events: EventRelayOptions;
 };
 
-/** Forwards a response: streams as they arrive, others buffered up to a limit. */
+/**
+ * Forwards a response: a stream as it arrives, others buffered up to a limit.
+ */
 export async function relayAnswer(
   answer: Answer,
   reply: Reply,
@@ -59,7 +61,7 @@
   readonly position: EventPosition;
   readonly clock: Clock;
   readonly stallMs: Milliseconds;
-  /** Whether to abort a stalled stream so that another replica can resume it. */
+  /** Whether to abort a stalled stream, to resume it at another replica. */
   abandonStalled(): boolean;
 };
 
@@ -74,18 +76,18 @@
   { position, clock, stallMs, abandonStalled }: EventRelayOptions,
 ): Promise<RelayOutcome> {
   const splitter = new EventSplitter();
-  let cancelStall = () => {};
-  const watch = () => {
-    cancelStall();
-    cancelStall = clock.after(stallMs, () => {
-      if (!abandonStalled()) return watch();
+  let cancelStallTimer = () => {};
+  const restartStallTimer = () => {
+    cancelStallTimer();
+    cancelStallTimer = clock.after(stallMs, () => {
+      if (!abandonStalled()) return restartStallTimer();
       answer.message.destroy();
     });
   };
-  watch();
+  restartStallTimer();
   return relay(answer, {
     data: (bytes) => {
-      watch();
+      restartStallTimer();
       const complete = splitter.push(bytes);
       if (complete.lastId !== undefined) position.lastId = complete.lastId;
       if (complete.bytes.length > 0) forward(answer, reply, complete.bytes);
@@ -94,12 +96,12 @@
       if (splitter.remainder.length > 0) reply.write(splitter.remainder);
       reply.end();
     },
-  }).finally(() => cancelStall());
+  }).finally(() => cancelStallTimer());
 }
 
 /**
- * Buffers a small response until it is complete, so that nothing has been sent to
- * the caller if the response is interrupted.
+ * Buffers a small response until it is complete, so that nothing has been sent
+ * to the caller if the response is interrupted.
  */
 function relayBuffered(
   answer: Answer,
--- a/src/gateway/requests/request.ts
+++ b/src/gateway/requests/request.ts
@@ -30,7 +30,7 @@
 export type Reply = {
   /** Forwards the status and the headers of a replica's response. */
   writeHead(status: number, rawHeaders: readonly string[]): void;
-  /** Returns false if the caller should wait for `drained` before writing more. */
+  /** Returns false if `drained` should be awaited before writing more. */
   write(bytes: Buffer): boolean;
   drained(): Promise<void>;
   end(): void;
--- a/src/gateway/requests/sender.ts
+++ b/src/gateway/requests/sender.ts
@@ -26,9 +26,9 @@
     readonly reason: string;
     /** The intended replica responded that it did not run the request. */
     readonly rejected: boolean;
-    /** The request reached the replica, so it counts towards the retry budget. */
+    /** It reached the replica, so it counts towards the retry budget. */
     readonly arrived: boolean;
-    /** The replica asked this host to back off, which is not a failure. */
+    /** The replica requested a backoff, which is not a failure. */
     readonly isBackoff: boolean;
   }
   /** The request may have run. */
@@ -51,15 +51,15 @@
   readonly timeoutMs?: Milliseconds;
 };
 
-/** Sends a request or its prefill; all requests to replicas pass through here. */
+/** Sends a request or its prefill; all sends to replicas use this function. */
 export function sendRequest(
   context: GatewayContext,
   request: GatewayRequest,
   replica: Replica,
   { headers, permit, timeoutMs }: SendOptions,
 ): Sending {
-  // The request may have waited since its replica was chosen, and the replica may
-  // have started to drain or to back off in the meantime.
+  // The request may have waited since its replica was chosen, and the replica
+  // may have started to drain or to back off in the meantime.
   const obstacle = context.gate.obstacle(replica);
   if (obstacle) {
     permit.release();
@@ -88,12 +88,12 @@
   replica.activeCalls += 1;
   const sentAt = context.clock.now();
   replica.noteTrial(sentAt);
-  const cancel = timeoutMs === undefined
+  const cancelTimeout = timeoutMs === undefined
     ? () => undefined
     : context.clock.after(timeoutMs, () => call.abort("No answer in time"));
   const sent = { call, sentAt };
   const result = resultOf(context, request, replica, sent).finally(() => {
-    cancel();
+    cancelTimeout();
     replica.activeCalls -= 1;
   });
   return { result, abort: (reason) => call.abort(reason) };
@@ -117,9 +117,9 @@
 }
 
 /**
- * This host's share of a replica's connection limit, at least one connection. The
- * shares of all hosts stay within the limit unless there are more hosts than
- * connections.
+ * This host's share of a replica's connection limit, at least one connection.
+ * The shares of all hosts stay within the limit unless there are more hosts
+ * than connections.
  */
 export function connectionShare(limit: number, hosts: number): number {
   const share = limit * CONNECTION_SHARE / Math.max(1, hosts);
@@ -204,17 +204,20 @@
   };
 }
 
-/** Records an interrupted response; `isByReplica`: this host did not abort it. */
+/**
+ * Records an interrupted response; `endedByReplica` is false if this host
+ * aborted it.
+ */
 export function noteInterruption(
   { crashes }: GatewayContext,
   { fingerprint }: GatewayRequest,
   { entry }: Replica,
-  isByReplica: boolean,
+  endedByReplica: boolean,
 ): void {
-  crashes.noteBrokenSend(entry, { fingerprint, endedByReplica: isByReplica });
+  crashes.noteBrokenSend(entry, { fingerprint, endedByReplica });
 }
 
-/** Whether a response belongs to the request; error responses may lack the id. */
+/** Whether a response belongs to the request; errors may lack the id. */
 function isAnswerTo(
   request: GatewayRequest,
   status: number,
--- a/test/gateway/requests/answers_test.ts
+++ b/test/gateway/requests/answers_test.ts
@@ -46,8 +46,8 @@
 test("a body without a length is incomplete after a reset", async () => {
   const interrupts: RawAnswer = (request, socket) => {
     const id = request.headers.get("x-id");
-    const head = `HTTP/1.1 200 OK\r\nx-id: ${id}\r\n\r\npart`;
-    socket.write(head);
+    const text = `HTTP/1.1 200 OK\r\nx-id: ${id}\r\n\r\npart`;
+    socket.write(text);
     setTimeout(() => socket.resetAndDestroy(), AFTER_READ_MS);
   };
   const route = { kind: RouteKind.unsafe, attempts: 1 };
@@ -66,8 +66,8 @@
 test("a reset right after the last bytes is not treated as the end of the body", async () => {
   const interrupts: RawAnswer = (request, socket) => {
     const id = request.headers.get("x-id");
-    const head = `HTTP/1.1 200 OK\r\nx-id: ${id}\r\n\r\npart`;
-    socket.write(head, () => setImmediate(() => socket.resetAndDestroy()));
+    const text = `HTTP/1.1 200 OK\r\nx-id: ${id}\r\n\r\npart`;
+    socket.write(text, () => setImmediate(() => socket.resetAndDestroy()));
   };
   const route = { kind: RouteKind.unsafe, attempts: 1 };
   await withRig({ route, replicas: [{ answer: interrupts }] }, async (rig) => {
--- a/test/gateway/requests/backoff_engine_test.ts
+++ b/test/gateway/requests/backoff_engine_test.ts
@@ -1,4 +1,4 @@
-/** Requests to model engines that ask the host to back off. */
+/** Requests to model engines that request a backoff. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { ReplicaStage } from "../../../src/gateway/mod.ts";
@@ -154,7 +154,7 @@
 });
 
 test("a waiting request tries again when the trial of a replica ends", async () => {
-  // The tried replica never answers; the other has no memory.
+  // The replica on trial never responds; the other has no memory.
   const hangs: RawAnswer = (request, socket) => {
     if (request.number === 1) return rejectsWithBackoff(1)(request, socket);
     if (request.number !== 3) healthy(request, socket);
--- a/test/gateway/requests/backoff_test.ts
+++ b/test/gateway/requests/backoff_test.ts
@@ -1,4 +1,4 @@
-/** Requests to plain replicas that ask the host to back off. */
+/** Requests to plain replicas that request a backoff. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { completeResponse, type RawAnswer } from "../raw_replica.ts";
@@ -103,7 +103,7 @@
   });
 });
 
-test("after a backoff one request tries the replica while others go elsewhere", async () => {
+test("after a backoff one request tries the replica while others use another one", async () => {
   let hasBackedOff = false;
   const pending: (() => void)[] = [];
   const hangs: RawAnswer = (request, socket) => {
--- a/test/gateway/requests/caller_disconnected_test.ts
+++ b/test/gateway/requests/caller_disconnected_test.ts
@@ -1,6 +1,7 @@
 /**
- * When a caller disconnects, at any stage of its request, the gateway sends nothing
- * more for it, aborts its calls and releases its reservations and exports.
+ * When a caller disconnects, at any stage of its request, the gateway sends
+ * nothing more for it, aborts its calls and releases its reservations and
+ * exports.
  */
 import assert from "node:assert/strict";
 import { connect, type Socket } from "node:net";
@@ -28,7 +29,7 @@
   readonly decode?: "hang" | "first event";
 };
 
-/** A replica that hangs at some stages and reports when the caller closes. */
+/** A replica that hangs at some stages and reports closed connections. */
 function replica(
   hangs: Hangs,
   closed: (stage: string) => void,
--- a/test/gateway/requests/draining_test.ts
+++ b/test/gateway/requests/draining_test.ts
@@ -134,7 +134,7 @@
   });
 });
 
-test("a request whose decode replica drains during the prefill goes elsewhere", async () => {
+test("a request whose decode replica drains during the prefill is sent to another one", async () => {
   let startDraining: () => void = () => undefined;
   const prefills: RawAnswer = (request, socket) => {
     if (!isHostCall(request)) startDraining();
@@ -150,13 +150,13 @@
       { answer: prefills, stage: ReplicaStage.prefill },
     ],
   }, async (rig) => {
-    const { draining: leaving } = rig.context;
+    const { draining } = rig.context;
     // Called after memory has been reserved at the decode replica.
     startDraining = () => {
       const at = rig.replicas.findIndex((replica) =>
         replica.requests.length > 0
       );
-      leaving.receive([`r${at}`], undefined);
+      draining.receive([`r${at}`], undefined);
       startDraining = () => undefined;
     };
     assert.deepEqual(await statuses(rig, 1, STREAM), [200]);
--- a/test/gateway/requests/notice_rig.ts
+++ b/test/gateway/requests/notice_rig.ts
@@ -24,7 +24,7 @@
   };
 }
 
-/** Rejects a request and asks the host to back off. */
+/** Rejects a request and requests a backoff. */
 export function rejectsWithBackoff(
   forMs: number | string,
   extra = ["x-not-run: 1"],
--- a/test/gateway/requests/restarted_replica_test.ts
+++ b/test/gateway/requests/restarted_replica_test.ts
@@ -1,6 +1,7 @@
 /**
  * Requests around the restart of a replica with the same id and address. Calls
- * carry only the id, so the new incarnation accepts requests sent to the old one.
+ * carry only the id, so the new incarnation accepts requests sent to the old
+ * one.
  */
 import assert from "node:assert/strict";
 import { test } from "node:test";
