--- a/src/gateway/planning/admission.ts
+++ b/src/gateway/planning/admission.ts
@@ -63,7 +63,7 @@
   readonly longestRetryMs: Milliseconds;
 };
 
-/** Forecasts waits and remembers which requests were refused. */
+/** Forecasts waits and records which requests were refused. */
 export class Admission {
   readonly #random: () => number;
   readonly #refusedUntil = new Map<string, Milliseconds>();
--- a/src/gateway/planning/forecasts.ts
+++ b/src/gateway/planning/forecasts.ts
@@ -6,15 +6,11 @@
 import type { PoolSnapshot } from "./pool_snapshot.ts";
 
 /**
- * How often a wait is forecast again, because replicas come and go: a request
- * that can no longer be served is refused within an eighth of the time that
- * callers wait for a first event (2 s at least).
+ * Interval at which a wait is forecast again, because replicas may have been
+ * added or removed.
  */
 const FORECAST_INTERVAL_MS = 250;
-/**
- * Time from the end of a prefill to the caller's first event, with a margin:
- * under load every request is served close to its deadline.
- */
+/** Time from the end of a prefill to the first event, with a margin. */
 const FIRST_EVENT_MS = 150;
 
 /** Time from a grant to the caller's first event if the replicas are idle. */
@@ -77,7 +73,7 @@
     return admission.refuse({ key, waitMs: expectedMs, longestRetryMs }, now);
   }
 
-  /** Each service has its own lifetimes. */
+  /** The admission of a service; assignment lifetimes differ by service. */
   #admissionOf(service: string): Admission {
     const known = this.#admissions.get(service);
     if (known) return known;
--- a/src/gateway/planning/ledger.ts
+++ b/src/gateway/planning/ledger.ts
@@ -9,7 +9,7 @@
 } from "../../util/line_fit.ts";
 
 /**
- * Prefill times assumed before any was measured: two points, so that a few
+ * Prefill times assumed before the first sample: two points, so that a few
  * samples close together can't tilt the fitted line.
  */
 const PRIOR_SAMPLES = [{ x: 500, y: 75 }, { x: 6000, y: 290 }];
--- a/src/gateway/planning/messages.ts
+++ b/src/gateway/planning/messages.ts
@@ -38,6 +38,7 @@
   priority: z.number(),
   /** Time until its first event is due; negative when it is late. */
   slackMs: z.number(),
+  /** Time until the request is abandoned. */
   patienceMs: z.number(),
   /** Identifies the prompt, to recognize a retry; may be empty. */
   key: z.string(),
--- a/src/gateway/planning/order.ts
+++ b/src/gateway/planning/order.ts
@@ -45,7 +45,7 @@
   return keyed.map(({ request }) => request);
 }
 
-/** The element with the least value; undefined if all are infinite. */
+/** The element with the smallest value; undefined if all are infinite. */
 export function minBy<Element>(
   elements: readonly Element[],
   value: (element: Element) => number,
--- a/src/gateway/planning/plain_choice.ts
+++ b/src/gateway/planning/plain_choice.ts
@@ -10,8 +10,7 @@
 const LOW_UTILIZATION = 0.5;
 /**
  * Requests per slot, running and queued, at which a replica's queue is long: a
- * new request waits about as long as two others run. With a lower value,
- * requests are refused that the replicas would serve.
+ * new request waits about as long as two others run.
  */
 const LONG_QUEUE_PER_SLOT = 3;
 /** Breaks ties by load; small compared with the remote hall penalty. */
@@ -28,8 +27,8 @@
   /** Whether the replica rejected a request recently. */
   isFull(incarnation: string): boolean;
   /**
-   * Leave out replicas with long queues, because more urgent requests arrive
-   * too and a replica serves its queue in order of arrival.
+   * Whether to leave out replicas with long queues, because more urgent
+   * requests arrive too and a replica serves its queue in order of arrival.
    */
   readonly avoidsLongQueues: boolean;
 };
--- a/src/gateway/planning/plan_service.ts
+++ b/src/gateway/planning/plan_service.ts
@@ -76,7 +76,7 @@
   }
 
   /** Handles a message from a host. */
-  take(from: string, message: HostMessage): void {
+  handle(from: string, message: HostMessage): void {
     const now = this.#context.clock.now();
     switch (message.type) {
       case "ask":
@@ -119,7 +119,7 @@
 
   #handleLine(from: string, text: string): void {
     const message = readJson(HostMessageSchema, text);
-    if (message) this.take(from, message);
+    if (message) this.handle(from, message);
   }
 
   #schedulePass(delayMs: Milliseconds): void {
--- a/src/gateway/planning/planner.ts
+++ b/src/gateway/planning/planner.ts
@@ -169,7 +169,7 @@
     this.#queue.removeHost(host);
   }
 
-  /** Goes through the queue once; returns the responses to send. */
+  /** Processes the queue once; returns the responses to send. */
   pass(now: Milliseconds): PlannerAnswer[] {
     this.#ledger.expire(now);
     const answers: PlannerAnswer[] = [];
--- a/src/gateway/planning/planner_client.ts
+++ b/src/gateway/planning/planner_client.ts
@@ -1,7 +1,7 @@
 /**
  * Requests assignments from the planner of a service. The planner is the first
- * host in the service's rendezvous order to which a link is open; a host that
- * reaches no other plans for itself.
+ * host in the service's rendezvous order that is this host or has an open link
+ * to it.
  */
 import type { Milliseconds } from "../../util/units.ts";
 import { readJson } from "../../util/read_json.ts";
@@ -20,7 +20,7 @@
 } from "./messages.ts";
 import type { PlanService } from "./plan_service.ts";
 
-/** How long after its link closed a host is not connected to again. */
+/** Delay before a link that closed is opened again. */
 const LINK_RETRY_DELAY_MS = 800;
 
 /** Parameters of an assignment request. */
@@ -119,41 +119,44 @@
     return { result, cancel: () => this.#cancel(request.id) };
   }
 
-  /** The prompt was prefilled at the assigned replica in `spentMs`. */
+  /** Reports that the assigned replica prefilled the prompt in `spentMs`. */
   prefilled(id: string, spentMs: Milliseconds): void {
     this.#report(id, AssignmentStage.prefilled, { spentMs });
   }
 
-  /** The assigned replica did not prefill the prompt. */
+  /** Reports that the assigned replica did not prefill the prompt. */
   prefillFailed(id: string): void {
     this.#report(id, AssignmentStage.prefillFailed);
   }
 
-  /** The decode replica could not fetch the export. */
+  /** Reports that the decode replica could not fetch the export. */
   exportLost(id: string): void {
     this.#release(id, AssignmentStage.exportLost);
   }
 
-  /** The decode replica did not accept the request. */
+  /** Reports that the decode replica did not accept the request. */
   failed(id: string): void {
     this.#release(id, AssignmentStage.failed);
   }
 
   /**
-   * The decode replica had no memory, or its limit has no room before
-   * `retryAfterMs`.
+   * Reports that the decode replica had no memory, or that its limit has no
+   * room for `retryAfterMs`.
    */
   refused(id: string, retryAfterMs?: Milliseconds): void {
     const details = retryAfterMs === undefined ? {} : { retryAfterMs };
     this.#release(id, AssignmentStage.refused, details);
   }
 
-  /** The limit of the prefill replica has no room before `retryAfterMs`. */
+  /**
+   * Reports that the limit of the prefill replica has no room for
+   * `retryAfterMs`.
+   */
   prefillLimited(id: string, retryAfterMs: Milliseconds): void {
     this.#report(id, AssignmentStage.prefillLimited, { retryAfterMs });
   }
 
-  /** The complete response was received; releases the assignment. */
+  /** Reports the complete response and releases the assignment. */
   answered(id: string): void {
     this.#release(id, AssignmentStage.answered);
   }
@@ -296,7 +299,7 @@
 
   #send(planner: string, message: HostMessage): void {
     const { self } = this.#context;
-    if (planner === self.id) return this.#localPlanner.take(self.id, message);
+    if (planner === self.id) return this.#localPlanner.handle(self.id, message);
     this.#links.get(planner)?.link.send(message);
   }
 
--- a/src/gateway/planning/pool_snapshot.ts
+++ b/src/gateway/planning/pool_snapshot.ts
@@ -132,7 +132,10 @@
     return this.#assignedPromptTokens + this.ahead.promptTokens;
   }
 
-  /** Whether the ledger shows room for the request at any healthy decode replica. */
+  /**
+   * Whether any healthy decode replica has room for the request, according to
+   * the ledger.
+   */
   mayFit(tokens: number): boolean {
     this.#largestFree ??= Math.max(
       0,
--- a/src/gateway/planning/prompt_locations.ts
+++ b/src/gateway/planning/prompt_locations.ts
@@ -10,7 +10,7 @@
  */
 const DECODE_TTL_MS = 9000;
 /**
- * How long a prefill replica is assumed to cache a prompt: it fills its whole
+ * How long a prefill replica is assumed to cache a prompt: it fills all of its
  * memory with prompts in little over a second.
  */
 const PREFILL_TTL_MS = 1200;
--- a/src/gateway/planning/recent_priorities.ts
+++ b/src/gateway/planning/recent_priorities.ts
@@ -2,8 +2,8 @@
 import type { Milliseconds } from "../../util/units.ts";
 
 /**
- * How long after its last request a priority counts as present: covers kinds of
- * requests that arrive once per second.
+ * How long after its last request a priority counts as present: covers
+ * priorities with one request per second.
  */
 const RECENT_MS = 2000;
 
--- a/src/gateway/planning/request_pacer.ts
+++ b/src/gateway/planning/request_pacer.ts
@@ -1,7 +1,7 @@
 /**
  * Paces the requests given to replicas that have a rate limit. The pace of a
  * planner is advisory: the owner of the limit counts the requests of all hosts,
- * and its refusals hold back the replica here.
+ * and after its refusals the planner gives the replica no request for a time.
  */
 import type { Milliseconds } from "../../util/units.ts";
 import { evictOldest } from "../../util/evict_oldest.ts";
@@ -11,15 +11,12 @@
 
 /**
  * A limited replica is given requests at up to this multiple of its rate, to
- * use up what an idle period left; the limit's owner enforces the rate itself.
+ * use up the allowance of an idle period; the limit's owner enforces the rate.
  * Without pacing, all waiting requests would be sent to the replica whose owner
  * grants permits, regardless of priority.
  */
 const CATCH_UP_FACTOR = 2;
-/**
- * Requests that may be given at once: at a rate of 1.4, an owner lets two
- * through within a second.
- */
+/** Requests that a limited replica may be given at once. */
 const BURST = 2;
 /**
  * How long a refusal applies when the host learned of the limit before the
@@ -80,12 +77,12 @@
     replicas: readonly ReplicaEntry[],
     now: Milliseconds,
   ): Milliseconds {
-    let minWait = Infinity;
+    let minMs = Infinity;
     for (const { incarnation } of replicas) {
-      minWait = Math.min(minWait, this.waitMs(incarnation, now));
-      if (minWait === 0) return 0;
+      minMs = Math.min(minMs, this.waitMs(incarnation, now));
+      if (minMs === 0) return 0;
     }
-    return minWait;
+    return minMs;
   }
 
   /** Records that the replica is given a request. */
@@ -98,8 +95,8 @@
   }
 
   /**
-   * Records a refusal of a host; if a limit was the reason, `retryAfterMs` is the
-   * time until it has room.
+   * Records that a host was refused; if a limit was the reason, `retryAfterMs`
+   * is the time until it has room.
    */
   noteFull(
     incarnation: string,
--- a/test/gateway/planning/admission_test.ts
+++ b/test/gateway/planning/admission_test.ts
@@ -26,8 +26,8 @@
   // It would be late, and 900 of 2,000 tokens per lifetime arrive to overtake
   // it.
   assert.equal(Math.round(refusal.retryAfterMs ?? 0), Math.round(1450 / 0.55));
-  const impatient = { ...large, longestRetryMs: 700 };
-  planner.enqueue("h", planRequest("f", { ...impatient, key: "l" }), 0);
+  const shortRetry = { ...large, longestRetryMs: 700 };
+  planner.enqueue("h", planRequest("f", { ...shortRetry, key: "l" }), 0);
   const [sooner] = messages(planner, 0);
   assert.ok(sooner?.type === "refusal" && sooner.retryAfterMs === 700);
 });
--- a/test/gateway/planning/plain_choice_test.ts
+++ b/test/gateway/planning/plain_choice_test.ts
@@ -84,7 +84,7 @@
   assert.ok(noReplica?.type === "refusal" && noReplica.reason === "no-replica");
 });
 
-test("reserves long queues of plain replicas for the most urgent requests that still arrive", () => {
+test("reserves long queues of plain replicas for the most urgent of the recent priorities", () => {
   const planner = new Planner(plainView());
   planner.enqueue("h", plainRequest("first", { priority: 1 }), 0);
   for (let index = 1; index < 36; index++) {
@@ -102,7 +102,7 @@
   assert.deepEqual(grantedIds(messages(planner, 3000)), ["later"]);
 });
 
-test("assigns a plain request to its own hall while the replica there has room", () => {
+test("assigns a plain request to the requester's hall while a replica there has room", () => {
   const planner = new Planner(plainView());
   const chosen: string[] = [];
   for (let index = 0; index < 4; index++) {
--- a/test/gateway/planning/planner_test.ts
+++ b/test/gateway/planning/planner_test.ts
@@ -101,11 +101,11 @@
   const planner = new Planner(view());
   fill(planner);
   planner.enqueue("h", planRequest("new", { slackMs: 500 }), 1);
-  const late = { begun: true, patienceMs: 100, slackMs: -900 };
-  planner.enqueue("h", planRequest("begun", late), 2);
+  const resumed = { begun: true, patienceMs: 100, slackMs: -900 };
+  planner.enqueue("h", planRequest("resumed", resumed), 2);
   assert.deepEqual(messages(planner, 2), []);
   planner.report({ type: "progress", id: "a", stage: "ended" }, 3);
-  assert.deepEqual(grantedIds(messages(planner, 3)), ["begun"]);
+  assert.deepEqual(grantedIds(messages(planner, 3)), ["resumed"]);
 });
 
 test("assigns a retry to the replica that has its prompt cached", () => {
--- a/test/gateway/planning/priority_test.ts
+++ b/test/gateway/planning/priority_test.ts
@@ -43,14 +43,27 @@
 test("doesn't refuse a more urgent request because of less urgent ones in the queue", () => {
   const planner = new Planner(view());
   fill(planner);
-  const patient = { patienceMs: 6000, slackMs: 6000, priority: 2, tokens: 900 };
+  const longTimeout = {
+    patienceMs: 6000,
+    slackMs: 6000,
+    priority: 2,
+    tokens: 900,
+  };
   for (const id of ["e", "f"]) {
-    planner.enqueue("h", planRequest(id, patient), 1);
+    planner.enqueue("h", planRequest(id, longTimeout), 1);
   }
-  const impatient = { key: "k", patienceMs: 1000 };
-  planner.enqueue("h", planRequest("urgent", { ...impatient, priority: 1 }), 1);
+  const shortTimeout = { key: "k", patienceMs: 1000 };
+  planner.enqueue(
+    "h",
+    planRequest("urgent", { ...shortTimeout, priority: 1 }),
+    1,
+  );
   assert.deepEqual(messages(planner, 2), []);
-  planner.enqueue("h", planRequest("last", { ...impatient, priority: 2 }), 2);
+  planner.enqueue(
+    "h",
+    planRequest("last", { ...shortTimeout, priority: 2 }),
+    2,
+  );
   const refused = messages(planner, 3);
   assert.deepEqual(refused.map((message) => message.type), ["refusal"]);
 });
--- a/test/gateway/requests/placements_test.ts
+++ b/test/gateway/requests/placements_test.ts
@@ -48,7 +48,7 @@
   deadline: 1000,
 };
 
-/** A context with a fake planner, and the messages that the planner receives. */
+/** Creates a context with a fake planner that records its messages. */
 function start(onMessage: (message: object) => void) {
   const timers: (() => void)[] = [];
   const messages: object[] = [];
@@ -91,16 +91,16 @@
       coldMs: 0,
     }],
   });
-  const plans = {
+  const planService = {
     attach: (_host: string, receive: (message: object) => void) =>
       reply = receive,
-    take: (_from: string, message: object) => {
+    handle: (_from: string, message: object) => {
       const wire: unknown = JSON.parse(JSON.stringify(message));
       messages.push(HostMessageSchema.parse(wire));
       onMessage(message);
     },
   } as unknown as PlanService;
-  const planner = new PlannerClient(context, plans, () => []);
+  const planner = new PlannerClient(context, planService, () => []);
   return {
     context,
     planner,
