--- a/src/gateway/stages/balance.ts
+++ b/src/gateway/stages/balance.ts
@@ -16,8 +16,8 @@
 
 /**
  * The next change towards the share, if the load of the stages justifies one.
- * Takes the replica from the hall with the most replicas of its stage, so that
- * halls keep both stages if they become isolated.
+ * Selects a replica of the hall with the most replicas of its stage, so that
+ * each hall retains both stages if the halls become isolated.
  */
 export function desiredChange(
   replicas: readonly ReplicaEntry[],
@@ -51,8 +51,8 @@
 const MAX_CHANGING_SHARE = 0.05;
 
 /**
- * All changes desired now. Under traffic their number is limited, since each takes
- * its replica out of service for seconds.
+ * All changes desired now. Under traffic their number is limited, since a
+ * replica is out of service for seconds during its change.
  */
 export function desiredChanges(
   replicas: readonly ReplicaEntry[],
@@ -118,7 +118,7 @@
   #desiredSince: Milliseconds | undefined;
   #suspendedUntil: Milliseconds = 0;
 
-  /** Whether a change has been desired for `debounceMs` without interruption. */
+  /** Whether a change has been desired continuously for `debounceMs`. */
   isDue(
     isDesired: boolean,
     debounceMs: Milliseconds,
@@ -133,7 +133,7 @@
       now - this.#desiredSince >= debounceMs;
   }
 
-  /** Holds back further changes until `until`. */
+  /** Suspends further changes until `until`. */
   suspendUntil(until: Milliseconds): void {
     this.#suspendedUntil = until;
     this.#desiredSince = undefined;
--- a/src/gateway/stages/lease.ts
+++ b/src/gateway/stages/lease.ts
@@ -1,12 +1,13 @@
 /**
- * The lease for ordering stage changes in one service: a row of the store that is
- * acquired by a conditional write. The row's revision is the fencing token. By the
- * store's clock, a new holder acquires the lease at the earliest one guard time
- * after it expired, so that the orders of two holders are never close together.
+ * The lease for ordering stage changes in one service: a row of the store that
+ * is acquired by a conditional write. The row's revision is the fencing token.
+ * A new holder acquires the lease one guard time or more after it expired by
+ * the store's clock, so that the orders of two holders are at least that far
+ * apart.
  *
  * A store that is restored from an older copy reuses revisions and may lack a
- * lease. The token therefore starts with the era, and no lease is acquired until
- * any lease that the copy may lack has expired.
+ * lease. The token therefore starts with the era, and no lease is acquired
+ * until any lease that the copy lacks has expired.
  */
 import * as z from "zod";
 import type { Milliseconds } from "../../util/units.ts";
@@ -75,10 +76,11 @@
     ifRevision: row?.revision ?? 0,
   }, signal);
   if (written.type === "conflict") return undefined;
-  // After a change of era, the conditional write may have matched a different row.
+  // After a change of era, the conditional write may have matched another row.
   if (written.era !== reading.era) return undefined;
-  // The row holds the store's clock at the read, before the write. Other hosts
-  // count from there, so the lease ends earlier by the duration of the write.
+  // The row contains the store's clock at the read, before the write. Other
+  // hosts count from that time, so the lease ends earlier by the duration of
+  // the write.
   const spentMs = clock.now() - requestedAt;
   const until = requestedAt + LEASE_TTL_MS - spentMs;
   return { holder, fence: positionOf(era, written.revision), era, until };
--- a/src/gateway/stages/stage_loop.ts
+++ b/src/gateway/stages/stage_loop.ts
@@ -1,8 +1,8 @@
 /**
  * Maintains each service's share of prefill replicas. When a change has been
  * desired for some time, the host that plans the service acquires the lease,
- * requests the replica's report and orders the change once. The replica gets no new
- * work while the change may be in progress.
+ * requests the replica's report and orders the change once. The replica gets no
+ * new work while the change may be in progress.
  */
 import type { Milliseconds } from "../../util/units.ts";
 import { sleep } from "../clock.ts";
@@ -39,7 +39,7 @@
 const DRAIN_MS = 5000;
 /** Delay after an attempt that ordered nothing, or before the first traffic. */
 const FAILED_RETRY_MS = 3000;
-/** No changes are ordered by an older listing. */
+/** Maximum age of a listing by which changes are ordered. */
 const MAX_LISTING_AGE_MS = 2500;
 
 /** Options of {@link runStageLoop}. */
@@ -84,7 +84,7 @@
   }
 }
 
-/** State kept for one service. */
+/** State of the loop for one service. */
 type ServiceState = {
   readonly debounce: ChangeDebounce;
   readonly load: SmoothedLoad;
@@ -113,7 +113,7 @@
   debounce.suspendUntil(clock.now() + (load ? longestMs : FAILED_RETRY_MS));
 }
 
-/** Open replicas; those with a pending change are listed with their new stage. */
+/** Open replicas; those with a pending change have their new stage. */
 function openEntriesOf(
   { context, changing }: StageLoopOptions,
   service: Service,
@@ -173,7 +173,7 @@
   readonly suspensionCount: number;
 };
 
-/** Orders a change and keeps new work from the replica while it is pending. */
+/** Orders a change; the replica gets no new work while it is pending. */
 async function attemptChange(
   options: StageLoopOptions,
   order: PlannedOrder,
--- a/test/gateway/stages/stages_test.ts
+++ b/test/gateway/stages/stages_test.ts
@@ -28,14 +28,14 @@
   return replicaEntry(incarnation, { stage, hall });
 }
 
-test("without traffic, changes reach the share, stop and keep both stages", () => {
-  const sides = fc.array(fc.boolean(), { minLength: 2, maxLength: 30 });
+test("without traffic, changes reach the share, stop and retain both stages", () => {
+  const stageFlags = fc.array(fc.boolean(), { minLength: 2, maxLength: 30 });
   const shares = fc.double({ min: 0.05, max: 0.95, noNaN: true });
-  fc.assert(fc.property(sides, shares, (stages, share) => {
+  fc.assert(fc.property(stageFlags, shares, (stages, share) => {
     const replicas = stages.map((prefill, at) =>
       replica(`r${at}`, prefill ? "prefill" : "decode", `h${at % 3}`)
     );
-    const both = new Set(stages).size === 2;
+    const hasBothStages = new Set(stages).size === 2;
     for (let step = 0; step <= replicas.length; step++) {
       const change = desiredChange(replicas, share, undefined);
       if (!change) break;
@@ -47,10 +47,10 @@
     const prefills = replicas.filter((replica) =>
       replica.stage === "prefill"
     ).length;
-    const off = Math.abs(prefills - replicas.length * share);
+    const deviation = Math.abs(prefills - replicas.length * share);
     const atEdge = prefills === 1 || prefills === replicas.length - 1;
-    assert.ok(off <= 0.75 || atEdge || !both);
-    if (both) assert.ok(prefills >= 1 && prefills < replicas.length);
+    assert.ok(deviation <= 0.75 || atEdge || !hasBothStages);
+    if (hasBothStages) assert.ok(prefills >= 1 && prefills < replicas.length);
   }));
 });
 
@@ -62,9 +62,9 @@
     replica("d", "decode", "one"),
     replica("e", "decode", "one"),
   ];
-  const calm = { prefill: 0.1, decode: 0.3 };
+  const idle = { prefill: 0.1, decode: 0.3 };
   const full = { prefill: 0.1, decode: 0.9 };
-  assert.equal(desiredChange(replicas, 0.2, calm), undefined);
+  assert.equal(desiredChange(replicas, 0.2, idle), undefined);
   assert.equal(desiredChange(replicas, 0.2, full)?.stage, "decode");
   assert.equal(desiredChange(replicas, 0.8, full), undefined);
   const busy = { prefill: 0.9, decode: 0.3 };
@@ -170,12 +170,12 @@
   const signal = new AbortController().signal;
   const clock = clockAt(state);
   const eras = emptyStoreEras();
-  const both = await Promise.all(
+  const leases = await Promise.all(
     ["a", "b"].map((holder) =>
       acquireLease({ store, clock, holder, guardMs: 3000, eras }, "s", signal)
     ),
   );
-  assert.equal(both.filter((lease) => lease !== undefined).length, 1);
+  assert.equal(leases.filter((lease) => lease !== undefined).length, 1);
 });
 
 test("an unreadable row does not block the lease", () => {
