--- a/src/gateway/routing/route_table.ts
+++ b/src/gateway/routing/route_table.ts
@@ -1,6 +1,4 @@
-/**
- * The active configuration. Its version never decreases while the process runs.
- */
+/** The active configuration. Its version never decreases during a process. */
 import { CustomerTable } from "../customers/customer_table.ts";
 import type { Route, RouteConfig, Service, Target } from "./model.ts";
 
--- a/test/gateway/routing/route_table_test.ts
+++ b/test/gateway/routing/route_table_test.ts
@@ -47,7 +47,7 @@
   assert.equal(table.match("c", "/"), undefined);
 });
 
-test("keeps the newest configuration in whatever order versions arrive", () => {
+test("adopts the newest configuration in whatever order versions arrive", () => {
   fc.assert(fc.property(fc.array(fc.nat(50)), (versions) => {
     const table = new RouteTable();
     let newest = 0;
