--- a/src/gateway/retries/retry_budget.ts
+++ b/src/gateway/retries/retry_budget.ts
@@ -1,8 +1,8 @@
 /**
  * This host's share of the fleet's retry budget. In any window, retries to a
- * service are limited to a ratio of its requests plus this host's share of a fixed
- * allowance. Each host enforces its own share, so the limit also holds when hosts
- * are unreachable to each other.
+ * service are limited to a ratio of its requests plus this host's share of a
+ * fixed allowance. Each host enforces its own share, so the limit also applies
+ * when hosts can't reach each other.
  *
  * A process that is younger than a window gets no share of the allowance, since
  * its predecessor may have used it up.
--- a/test/gateway/retries/arrivals_test.ts
+++ b/test/gateway/retries/arrivals_test.ts
@@ -1,6 +1,6 @@
 /**
- * Guards against exceeding the retry budget when replicas reject prefills: whatever
- * is sent after a rejected prefill must be charged as a retry.
+ * Guards against exceeding the retry budget when replicas reject prefills:
+ * whatever is sent after a rejected prefill must be charged as a retry.
  */
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -35,7 +35,7 @@
 });
 const DECODE_REPLICA = { answer: decodes, stage: ReplicaStage.decode };
 
-/** Counts arrivals beyond each request's first; one accepted prefill is free. */
+/** Arrivals beyond each request's first; one accepted prefill is free. */
 function retriesOf(
   { replicas }: Rig,
   rejectingReplicas: ReadonlySet<number>,
--- a/test/gateway/retries/retry_budget_test.ts
+++ b/test/gateway/retries/retry_budget_test.ts
@@ -128,7 +128,7 @@
     directory.add(entries, 0);
     return directory;
   });
-  // While the halls are isolated, only hosts of the same hall announce each other.
+  // Isolated hosts receive announcements only from hosts of their own hall.
   const isolatedForMs = 600_000;
   for (let now = 1000; now <= isolatedForMs; now += 1000) {
     for (const [at, directory] of directories.entries()) {
