--- a/test/gateway/stages/stages_test.ts
+++ b/test/gateway/stages/stages_test.ts
@@ -62,9 +62,9 @@
     replica("d", "decode", "one"),
     replica("e", "decode", "one"),
   ];
-  const idle = { prefill: 0.1, decode: 0.3 };
+  const lowLoad = { prefill: 0.1, decode: 0.3 };
   const full = { prefill: 0.1, decode: 0.9 };
-  assert.equal(desiredChange(replicas, 0.2, idle), undefined);
+  assert.equal(desiredChange(replicas, 0.2, lowLoad), undefined);
   assert.equal(desiredChange(replicas, 0.2, full)?.stage, "decode");
   assert.equal(desiredChange(replicas, 0.8, full), undefined);
   const busy = { prefill: 0.9, decode: 0.3 };
