--- a/src/gateway/answers.ts
+++ b/src/gateway/answers.ts
@@ -1,6 +1,8 @@
 /** The errors that the gateway itself returns, and the response for each. */
 
-/** Reasons for which the gateway ends a request without a replica's response. */
+/**
+ * Reasons for which the gateway ends a request without a replica's response.
+ */
 export const GatewayError = {
   noConfig: "no_config",
   noRoute: "no_route",
@@ -32,7 +34,9 @@
   readonly message: string;
   /** Only set if the request has not run and will not run. */
   readonly retryAfterSeconds?: number;
-  /** Authentication scheme for `WWW-Authenticate` (RFC 9110, section 11.6.1). */
+  /**
+   * Authentication scheme for `WWW-Authenticate` (RFC 9110, section 11.6.1).
+   */
   readonly challenge?: string;
 };
 
--- a/src/gateway/clock.ts
+++ b/src/gateway/clock.ts
@@ -1,10 +1,14 @@
-/** The clock and timers of the gateway; tests replace them by a virtual clock. */
+/**
+ * The clock and timers of the gateway; tests replace them by a virtual clock.
+ */
 import type { Milliseconds } from "../util/units.ts";
 
 /** A monotonic clock with timers. */
 export type Clock = {
   now(): Milliseconds;
-  /** Calls `callback` once after `delayMs`; returns a function that cancels it. */
+  /**
+   * Calls `callback` once after `delayMs`; returns a function that cancels it.
+   */
   after(delayMs: Milliseconds, callback: () => void): () => void;
 };
 
--- a/src/gateway/context.ts
+++ b/src/gateway/context.ts
@@ -27,7 +27,9 @@
    * its route's latency objective.
    */
   readonly retryAfterObjectives: number;
-  /** A resumable stream without events for this long resumes at another replica. */
+  /**
+   * A resumable stream without events for this long resumes at another replica.
+   */
   readonly stallTimeoutMs: Milliseconds;
   /** Reserved output tokens, as a multiple of the caller's estimate. */
   readonly outputMargin: number;
--- a/src/gateway/create_context.ts
+++ b/src/gateway/create_context.ts
@@ -39,7 +39,7 @@
   const run = String(newIncarnation());
   const self = { id: host.id, hall: host.hall, run };
   const random = Math.random;
-  const { replicas, limits, draining: leaving, gate } = createReplicaState({
+  const { replicas, limits, draining, gate } = createReplicaState({
     self,
     clock,
     random,
@@ -71,7 +71,7 @@
       probe: (address) => probeAddress(address, { clock, timeoutMs }),
     }),
     limits,
-    draining: leaving,
+    draining,
     gate,
     events,
     metrics,
--- a/src/gateway/early_reload.ts
+++ b/src/gateway/early_reload.ts
@@ -1,6 +1,7 @@
 /**
  * Handles a SIGHUP that arrives while the program is still loading, which would
- * otherwise end the process. Must be imported and called before everything else.
+ * otherwise end the process. Must be imported and called before everything
+ * else.
  */
 
 type ReloadHandler = () => void;
--- a/src/gateway/observe/line_writer.ts
+++ b/src/gateway/observe/line_writer.ts
@@ -6,7 +6,9 @@
  */
 import { write } from "node:fs";
 
-/** Writes bytes and calls `done` with an error or the number of bytes written. */
+/**
+ * Writes bytes and calls `done` with an error or the number of bytes written.
+ */
 export type RawWrite = (
   bytes: Buffer,
   done: (error: Error | null, written: number) => void,
--- a/src/gateway/port.ts
+++ b/src/gateway/port.ts
@@ -44,7 +44,9 @@
 /** Metadata that the gateway adds to a request when it forwards it. */
 export type CallMetadata = {
   readonly mode: CallMode;
-  /** Id of the intended replica; any other replica at the address rejects it. */
+  /**
+   * Id of the intended replica; any other replica at the address rejects it.
+   */
   readonly replica: string;
   /** Priority in the model engine's queue; 0 is the most urgent. */
   readonly priority?: number;
@@ -169,7 +171,10 @@
   readonly gone: readonly string[];
 };
 
-/** The platform's store; each call rejects if the response is missing or invalid. */
+/**
+ * The platform's store; each call rejects if the response is missing or
+ * invalid.
+ */
 export type Store = {
   readReplicas(signal: AbortSignal): Promise<StoreListing>;
   /**
@@ -184,7 +189,9 @@
   ): Promise<StoreChanges | undefined>;
   /** Reads the configuration. */
   readConfig(signal: AbortSignal): Promise<ConfigReading>;
-  /** Long poll: resolves once the configuration may have changed since `from`. */
+  /**
+   * Long poll: resolves once the configuration may have changed since `from`.
+   */
   watchConfig(
     from: StorePosition,
     waitMs: Milliseconds,
--- a/src/gateway/position.ts
+++ b/src/gateway/position.ts
@@ -1,10 +1,12 @@
 /**
- * Positions in the store's history, encoded as one number that orders by era and
- * then by revision. A store that is restored from a backup reuses revisions, so a
- * revision alone is ambiguous.
+ * Positions in the store's history, encoded as one number that orders by era
+ * and then by revision. A store that is restored from a backup reuses
+ * revisions, so a revision alone is ambiguous.
  */
 
-/** A position in the store's history; greater is later, negative precedes all. */
+/**
+ * A position in the store's history; greater is later, negative precedes all.
+ */
 export type Position = number;
 
 /**
--- a/src/gateway/suspension.ts
+++ b/src/gateway/suspension.ts
@@ -1,16 +1,16 @@
 /**
  * Detects that the machine was suspended. The monotonic clock stops during a
  * suspension, so cached data appears younger than it is, while the wall clock
- * continues. A forward step of the wall clock is treated as a suspension as well:
- * this only causes an extra refresh, whereas a missed suspension could accept a
- * key that was revoked in the meantime.
+ * continues. A forward step of the wall clock is treated as a suspension as
+ * well: this only causes an extra refresh, whereas a missed suspension could
+ * accept a key that was revoked in the meantime.
  */
 import type { Milliseconds } from "../util/units.ts";
 
 /**
  * The wall clock must gain more than this on the monotonic clock between two
- * checks. Well above the drift of a slewed clock (500 ppm), and below the safety
- * margins of cache TTLs (at least one second).
+ * checks. Well above the drift of a slewed clock (500 ppm), and below the
+ * safety margins of cache TTLs (at least one second).
  */
 const MIN_SUSPENSION_MS = 200;
 
--- a/test/gateway/dialect.ts
+++ b/test/gateway/dialect.ts
@@ -15,11 +15,11 @@
   readRequest: (headers) => {
     const tokens = String(headers["x-tokens"] ?? "").split(",");
     const id = headers["x-id"];
-    const patience = headers["x-patience"];
+    const timeoutMs = headers["x-patience"];
     const key = headers["x-key"];
     return {
       ...(typeof id === "string" ? { id } : {}),
-      ...(patience === undefined ? {} : { timeoutMs: Number(patience) }),
+      ...(timeoutMs === undefined ? {} : { timeoutMs: Number(timeoutMs) }),
       ...(typeof key === "string" ? { keyDigest: `digest of ${key}` } : {}),
       promptTokens: Number(tokens[0]) || 0,
       outputLimit: Number(tokens[1]) || 0,
--- a/test/gateway/replica_entry.ts
+++ b/test/gateway/replica_entry.ts
@@ -1,6 +1,9 @@
 import type { ReplicaEntry } from "../../src/gateway/mod.ts";
 
-/** Returns an entry of a serving replica for tests; `change` overrides its fields. */
+/**
+ * Returns an entry of a serving replica for tests; `change` overrides its
+ * fields.
+ */
 export function replicaEntry(
   incarnation: string,
   change: Partial<ReplicaEntry> = {},
--- a/test/gateway/rig.ts
+++ b/test/gateway/rig.ts
@@ -1,4 +1,6 @@
-/** Test rig: the caller-facing server of a gateway, raw replicas and a caller. */
+/**
+ * Test rig: the caller-facing server of a gateway, raw replicas and a caller.
+ */
 import { Agent, request } from "node:http";
 import {
   CallerServer,
