--- a/src/gateway/callers/server.ts
+++ b/src/gateway/callers/server.ts
@@ -74,7 +74,7 @@
   #pendingCount = 0;
 
   constructor(options: CallerServerOptions) {
-    const { context, planner: planner, admission, quotas } = options;
+    const { context, planner, admission, quotas } = options;
     this.#context = context;
     this.#planner = planner;
     this.#admission = admission;
--- a/src/gateway/http/headers.ts
+++ b/src/gateway/http/headers.ts
@@ -13,7 +13,9 @@
   "upgrade",
 ]);
 
-/** Returns the headers except those whose lower-case name `shouldDrop` accepts. */
+/**
+ * Returns the headers except those whose lower-case name `shouldDrop` accepts.
+ */
 export function withoutHeaders(
   raw: readonly string[],
   shouldDrop: (name: string) => boolean,
@@ -47,8 +49,8 @@
 
 /**
  * Response headers to forward to the caller: the end-to-end ones, without
- * `Content-Length` if the response is chunked. Headers in `endToEnd` are kept even
- * if the `Connection` header names them.
+ * `Content-Length` if the response is chunked. Headers in `endToEnd` are kept
+ * even if the `Connection` header names them.
  */
 export function answerHeaders(
   raw: readonly string[],
--- a/src/gateway/upstreams/call.ts
+++ b/src/gateway/upstreams/call.ts
@@ -1,6 +1,6 @@
 /**
- * One HTTP call to an upstream replica. Its outcome tells whether the request
- * can have run.
+ * One HTTP call to an upstream replica. The outcome states whether the request
+ * may have run.
  */
 import {
   type Agent,
@@ -16,8 +16,8 @@
 /**
  * When a reused connection ends this soon after the start of the call, the
  * replica had already closed it before the request arrived. The value is above
- * a round trip within a region and below the time in which a request can crash a
- * replica.
+ * a round trip within a region and below the time in which a request can crash
+ * a replica.
  */
 const STALE_CONNECTION_MS = 10;
 
@@ -146,7 +146,9 @@
   return request({ host, port, method, path, headers, agent, setHost: false });
 }
 
-/** Notifies `on` when the connection of a call is open and when it was reset. */
+/**
+ * Notifies `on` when the connection of a call is open and when it was reset.
+ */
 function watchSocket(
   clientRequest: ClientRequest,
   on: { onConnected(): void; onReset(): void },
@@ -197,8 +199,8 @@
 }
 
 /**
- * Reads the complete body of a response; undefined if it was cut off or is longer
- * than `maxBytes`.
+ * Reads the complete body of a response; undefined if it was cut off or is
+ * longer than `maxBytes`.
  */
 export function readBody(
   answer: Answer,
--- a/src/gateway/upstreams/engine_call.ts
+++ b/src/gateway/upstreams/engine_call.ts
@@ -1,6 +1,6 @@
 /**
- * Control calls from this host to a model engine: reservations, exports, reports
- * and stage orders.
+ * Control calls from this host to a model engine: reservations, exports,
+ * reports and stage orders.
  */
 import type { Milliseconds } from "../../util/units.ts";
 import type { GatewayContext } from "../context.ts";
@@ -9,8 +9,8 @@
 import type { JsonAnswer } from "./json_client.ts";
 
 /**
- * Calls a replica and passes what the headers of its response report about it to
- * the gate; undefined if no complete response arrives within `timeoutMs`.
+ * Calls a replica and passes what the headers of its response report about it
+ * to the gate; undefined if no complete response arrives within `timeoutMs`.
  */
 export async function callEngine(
   { pool, dialect, clock, gate }: Pick<
--- a/src/gateway/upstreams/json_client.ts
+++ b/src/gateway/upstreams/json_client.ts
@@ -41,16 +41,16 @@
 
 async function sendCall(
   state: ClientState,
-  smallCall: JsonCall,
+  jsonCall: JsonCall,
   signal: AbortSignal,
 ): Promise<JsonAnswer> {
   signal.throwIfAborted();
   const call = startCall({
     ...state,
-    method: smallCall.method,
-    path: smallCall.path,
+    method: jsonCall.method,
+    path: jsonCall.path,
     headers: ["Content-Type", "application/json"],
-    body: Buffer.from(smallCall.body ?? ""),
+    body: Buffer.from(jsonCall.body ?? ""),
     connectTimeoutMs: CONNECT_TIMEOUT_MS,
   });
   const abort = () => call.abort("Call aborted");
--- a/src/gateway/upstreams/keep_alive_agent.ts
+++ b/src/gateway/upstreams/keep_alive_agent.ts
@@ -41,8 +41,8 @@
 }
 
 /**
- * How long a connection may stay idle, by the `Keep-Alive` response header; zero
- * or less: it is not reused.
+ * How long a connection may stay idle, by the `Keep-Alive` response header;
+ * zero or less: it is not reused.
  */
 export function idleTimeoutMs(
   keepAlive: string | string[] | undefined,
--- a/src/gateway/upstreams/pool.ts
+++ b/src/gateway/upstreams/pool.ts
@@ -1,6 +1,6 @@
 /**
- * Pools of connections to replicas: for callers' requests, and for small calls,
- * which this host makes without a caller's request.
+ * Pools of connections to replicas: for callers' requests, and for control
+ * calls, which the gateway itself makes.
  */
 import type { Agent } from "node:http";
 import type { Milliseconds } from "../../util/units.ts";
@@ -10,21 +10,21 @@
 import type { JsonAnswer } from "./json_client.ts";
 import { KeepAliveAgent } from "./keep_alive_agent.ts";
 
-const MAX_SMALL_BODY_BYTES = 1 << 20;
+const MAX_CONTROL_BODY_BYTES = 1 << 20;
 const JSON_HEADERS = ["Content-Type", "application/json"];
-/** Maximum number of connections for small calls to one replica. */
-const MAX_SMALL_CONNECTIONS = 3;
+/** Maximum number of connections for control calls to one replica. */
+const MAX_CONTROL_CONNECTIONS = 3;
 
 /**
- * HTTP agents by incarnation of a replica. Requests and small calls never share
- * a connection: the response to a small call names no request, so a surplus
- * response to a request could be mistaken for it.
+ * HTTP agents by incarnation of a replica. Requests and control calls never
+ * share a connection: the response to a control call names no request, so a
+ * surplus response to a request could be mistaken for it.
  */
 export class UpstreamPool {
   readonly #clock: Clock;
   readonly #connectTimeoutMs: Milliseconds;
   readonly #requestAgents = new Map<string, Agent>();
-  readonly #smallCallAgents = new Map<string, Agent>();
+  readonly #controlAgents = new Map<string, Agent>();
 
   constructor(clock: Clock, connectTimeoutMs: Milliseconds) {
     this.#clock = clock;
@@ -43,7 +43,7 @@
     /** As in {@link CallOptions}. */
     readonly maySend: () => boolean;
   }): Call {
-    const { incarnation, maxConnections: maxConnections } = options;
+    const { incarnation, maxConnections } = options;
     return startCall({
       ...options,
       agent: agentOf(this.#requestAgents, incarnation, maxConnections),
@@ -53,27 +53,27 @@
   }
 
   /**
-   * Makes a small call; undefined if no complete response arrives within
+   * Makes a control call; undefined if no complete response arrives within
    * `timeoutMs`.
    */
   async sendSmall(
     entry: { readonly address: string; readonly incarnation: string },
-    smallCall: JsonCall & { readonly headers?: readonly string[] },
+    controlCall: JsonCall & { readonly headers?: readonly string[] },
     timeoutMs: Milliseconds,
   ): Promise<JsonAnswer | undefined> {
     const call = startCall({
       address: entry.address,
-      method: smallCall.method,
-      path: smallCall.path,
+      method: controlCall.method,
+      path: controlCall.path,
       headers: [
-        ...(smallCall.body === undefined ? [] : JSON_HEADERS),
-        ...(smallCall.headers ?? []),
+        ...(controlCall.body === undefined ? [] : JSON_HEADERS),
+        ...(controlCall.headers ?? []),
       ],
-      body: Buffer.from(smallCall.body ?? ""),
+      body: Buffer.from(controlCall.body ?? ""),
       agent: agentOf(
-        this.#smallCallAgents,
+        this.#controlAgents,
         entry.incarnation,
-        MAX_SMALL_CONNECTIONS,
+        MAX_CONTROL_CONNECTIONS,
       ),
       clock: this.#clock,
       connectTimeoutMs: Math.min(timeoutMs, this.#connectTimeoutMs),
@@ -84,7 +84,7 @@
     );
     const outcome = await call.outcome;
     const body = outcome.type === "answer"
-      ? await readBody(outcome.answer, MAX_SMALL_BODY_BYTES)
+      ? await readBody(outcome.answer, MAX_CONTROL_BODY_BYTES)
       : undefined;
     cancel();
     if (outcome.type !== "answer" || body === undefined) return undefined;
@@ -92,10 +92,12 @@
     return { status: statusCode, body, headers };
   }
 
-  /** Drops the agents of a removed replica and closes their idle connections. */
+  /**
+   * Drops the agents of a removed replica and closes their idle connections.
+   */
   removeReplica(incarnation: string): void {
-    this.#smallCallAgents.get(incarnation)?.destroy();
-    this.#smallCallAgents.delete(incarnation);
+    this.#controlAgents.get(incarnation)?.destroy();
+    this.#controlAgents.delete(incarnation);
     // Requests in progress keep their connections until they end.
     const idleSockets = this.#requestAgents.get(incarnation)?.freeSockets ?? {};
     this.#requestAgents.delete(incarnation);
@@ -107,7 +109,7 @@
   /** Closes all connections. */
   close(): void {
     for (const agent of this.#requestAgents.values()) agent.destroy();
-    for (const agent of this.#smallCallAgents.values()) agent.destroy();
+    for (const agent of this.#controlAgents.values()) agent.destroy();
   }
 }
 
--- a/test/gateway/callers/server_test.ts
+++ b/test/gateway/callers/server_test.ts
@@ -1,4 +1,7 @@
-/** Requests that a stopping host accepts, and how bodies and errors are passed on. */
+/**
+ * Requests that a stopping host accepts, and how bodies and errors are passed
+ * on.
+ */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { RouteKind } from "../../../src/gateway/mod.ts";
