--- a/test/platform/config_row_test.ts
+++ b/test/platform/config_row_test.ts
@@ -1,4 +1,6 @@
-/** Parsing of the configuration row: one invalid field rejects the whole row. */
+/**
+ * Parsing of the configuration row: one invalid field rejects the whole row.
+ */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import fc from "fast-check";
--- a/test/platform/names_test.ts
+++ b/test/platform/names_test.ts
@@ -1,4 +1,6 @@
-/** Checks that src/ and bench/ don't depend on the platform's names or adapter. */
+/**
+ * Checks that src/ and bench/ don't depend on the platform's names or adapter.
+ */
 import assert from "node:assert/strict";
 import { readdirSync, readFileSync } from "node:fs";
 import { dirname, join, relative, resolve } from "node:path";
--- a/test/platform/rate_windows.ts
+++ b/test/platform/rate_windows.ts
@@ -3,7 +3,9 @@
 /** Length of the window over which tests check a rate limit. */
 export const LIMIT_WINDOW_MS = 4000;
 
-/** Maximum number of requests that all hosts together may send in the window. */
+/**
+ * Maximum number of requests that all hosts together may send in the window.
+ */
 export function maxAllowed(perSecond: number): number {
   return 1.5 * perSecond * LIMIT_WINDOW_MS / 1000 + 5;
 }
--- a/test/platform/replica_standin.ts
+++ b/test/platform/replica_standin.ts
@@ -1,6 +1,6 @@
 /**
- * A stand-in of a replica that records its requests: a plain service, or a model
- * engine with reservations and exports of prefills.
+ * A stand-in of a replica that records its requests: a plain service, or a
+ * model engine with reservations and exports of prefills.
  */
 import {
   createServer,
@@ -25,7 +25,7 @@
   /** The first event to send. */
   readonly fromEvent: number;
   /** Whether its response marked the replica as draining. */
-  readonly saidLeaving: boolean;
+  readonly reportedDraining: boolean;
   /** The `Retry-After` header with which it was rejected, if it was. */
   readonly backoff?: string;
 };
@@ -143,14 +143,14 @@
     get draining() {
       return engine.draining;
     },
-    set draining(leaves) {
-      engine.draining = leaves;
+    set draining(isDraining) {
+      engine.draining = isDraining;
     },
     get backoff() {
       return engine.backoff;
     },
-    set backoff(text) {
-      engine.backoff = text;
+    set backoff(backoff) {
+      engine.backoff = backoff;
     },
     crash: () => {
       server.close();
@@ -223,7 +223,7 @@
   }
   const isPrefill = header("serving-stage") === "prefill";
   const fromEvent = Number(header("last-event-id") || -1) + 1;
-  const { draining: saidLeaving, start } = engine;
+  const { draining: reportedDraining, start } = engine;
   const backoff = nextBackoff(engine);
   const note = (ran: boolean) =>
     world.arrivals.push({
@@ -233,7 +233,7 @@
       atMs: performance.now(),
       ran,
       fromEvent,
-      saidLeaving,
+      reportedDraining,
       ...(backoff === undefined ? {} : { backoff }),
     });
   if (isPrefill !== (role === "prefill")) {
@@ -267,7 +267,9 @@
   await stream(response, { id, fromEvent, seal });
 }
 
-/** The `Retry-After` header for the next request; undefined if it is accepted. */
+/**
+ * The `Retry-After` header for the next request; undefined if it is accepted.
+ */
 function nextBackoff(engine: Engine): string | undefined {
   if (!engine.backoff) return undefined;
   const { text, isPartial = false } = engine.backoff;
@@ -292,7 +294,9 @@
   send(response, 200, { PrefillHandle: handle, Tokens: 1, Version: 1 });
 }
 
-/** Removes the export of a finished prefill; false if it is missing or expired. */
+/**
+ * Removes the export of a finished prefill; false if it is missing or expired.
+ */
 function popExport(world: ReplicaWorld, from: string, id: string): boolean {
   const found = world.exports.get(from);
   world.exports.delete(from);
--- a/test/platform/standin.ts
+++ b/test/platform/standin.ts
@@ -1,4 +1,7 @@
-/** A stand-in of the platform: its store, and one replica that serves every role. */
+/**
+ * A stand-in of the platform: its store, and one replica that serves every
+ * role.
+ */
 import { createServer, type IncomingMessage } from "node:http";
 import { listen, startStore, StoreMode } from "./store_standin.ts";
 
--- a/test/platform/store_standin.ts
+++ b/test/platform/store_standin.ts
@@ -158,7 +158,9 @@
   }
 }
 
-/** The rows changed after a revision; without one, all rows that aren't deleted. */
+/**
+ * The rows changed after a revision; without one, all rows that aren't deleted.
+ */
 function pageOf(
   state: State,
   table: string,
--- a/test/platform/store_test.ts
+++ b/test/platform/store_test.ts
@@ -72,10 +72,10 @@
 test("an unreadable configuration is an error", async (t) => {
   const { standin, store } = await start(t);
   standin.put("op", "config", { Version: 1 });
-  const { position: place } = await store.readConfig(SIGNAL);
-  assert.ok(place);
+  const { position } = await store.readConfig(SIGNAL);
+  assert.ok(position);
   standin.put("op", "config", "no object" as unknown as object);
-  await assert.rejects(store.watchConfig(place, 10, SIGNAL), /Unreadable/);
+  await assert.rejects(store.watchConfig(position, 10, SIGNAL), /Unreadable/);
 });
 
 test("a watch from before the store was restored from a copy finds its history lost", async (t) => {
@@ -85,17 +85,17 @@
   const copy = standin.copy();
   standin.put("servers", "b", REPLICA);
   const listing = await store.readReplicas(SIGNAL);
-  const { position: place } = await store.readConfig(SIGNAL);
-  assert.ok(place);
+  const { position } = await store.readConfig(SIGNAL);
+  assert.ok(position);
   standin.restore(copy);
   const watches = () =>
     Promise.all([
       store.watchReplicas(listing, 0, SIGNAL),
-      store.watchConfig(place, 0, SIGNAL),
+      store.watchConfig(position, 0, SIGNAL),
     ]);
   assert.deepEqual(await watches(), [undefined, {}]);
-  // Once the revision exceeds that of the old position, a watch that ignored the
-  // era would miss the writes below it.
+  // Once the revision exceeds that of the old position, a watch that ignored
+  // the era would miss the writes below it.
   standin.put("op", "config", { Version: 2 });
   for (const key of ["c", "d", "e"]) standin.put("servers", key, REPLICA);
   assert.deepEqual(await watches(), [undefined, {}]);
--- a/test/soak/forwarded_requests.ts
+++ b/test/soak/forwarded_requests.ts
@@ -11,7 +11,7 @@
   readonly atMs: number;
   /** When the caller sent the request. */
   readonly requestedAtMs: number;
-  readonly saidLeaving: boolean;
+  readonly reportedDraining: boolean;
   readonly backoff?: string;
 };
 
--- a/test/soak/notices.ts
+++ b/test/soak/notices.ts
@@ -23,14 +23,16 @@
   sent: readonly ForwardedRequest[],
 ): string[] {
   return groupByHostAndStart(sent).flatMap((group) => {
-    const notice = group.find((request) => request.saidLeaving);
+    const notice = group.find((request) => request.reportedDraining);
     if (!notice) return [];
     const latestMs = notice.atMs + RESPONSE_FORWARD_MS + DRAIN_MS;
     const count = group.filter((request) =>
       request.requestedAtMs > latestMs
     ).length;
     if (count === 0) return [];
-    return [`${count} from ${notice.host} to ${notice.replica}, which leaves`];
+    return [
+      `${count} from ${notice.host} to ${notice.replica}, which is draining`,
+    ];
   });
 }
 
@@ -49,7 +51,9 @@
       if (count <= MAX_SENDS_IN_BACKOFF) {
         return [];
       }
-      return [`${count} from ${host} to ${replica} in a pause of ${backoff} s`];
+      return [
+        `${count} from ${host} to ${replica} in a backoff of ${backoff} s`,
+      ];
     })
   );
 }
