--- a/src/operators/store.ts
+++ b/src/operators/store.ts
@@ -1,4 +1,6 @@
-/** Store interface through which operator tools read and write settings rows. */
+/**
+ * Store interface through which operator tools read and write settings rows.
+ */
 
 /** A row of the platform's settings table. */
 export type StoredRow = {
--- a/src/operators/store_clients.ts
+++ b/src/operators/store_clients.ts
@@ -1,4 +1,6 @@
-/** Store clients for operator tools: directly to the platform or through a host. */
+/**
+ * Store clients for operator tools: directly to the platform or through a host.
+ */
 import {
   callControl,
   type ControlTarget,
--- a/src/programs/burn/merge.ts
+++ b/src/programs/burn/merge.ts
@@ -12,7 +12,9 @@
   readonly windowMs: number;
   readonly requests: number;
   readonly good: number;
-  /** Burn rate; at 1, the budget is used up exactly at the end of its period. */
+  /**
+   * Burn rate; at 1, the budget is used up exactly at the end of its period.
+   */
   readonly burn: number;
   /** Since the hosts started, not only over the window. */
   readonly firstToken: Percentiles;
--- a/src/programs/ctl/customer.ts
+++ b/src/programs/ctl/customer.ts
@@ -90,7 +90,9 @@
   });
 }
 
-/** Parses `name=value`; the value is a number, a comma-separated list or text. */
+/**
+ * Parses `name=value`; the value is a number, a comma-separated list or text.
+ */
 function parseParameter(text: string): readonly [string, unknown] {
   const separator = text.indexOf("=");
   const name = text.slice(0, Math.max(0, separator));
--- a/src/programs/ctl/fleet_versions.ts
+++ b/src/programs/ctl/fleet_versions.ts
@@ -1,4 +1,6 @@
-/** Compares the settings and routes versions of hosts, read from their metrics. */
+/**
+ * Compares the settings and routes versions of hosts, read from their metrics.
+ */
 
 /** The versions that a host reports in its metrics. */
 export type HostVersions = {
--- a/src/util/line_fit.ts
+++ b/src/util/line_fit.ts
@@ -31,7 +31,9 @@
   fit.xy = fit.xy * decay + x * y;
 }
 
-/** The fitted line; undefined with too few samples, little spread or slope <= 0. */
+/**
+ * The fitted line; undefined with too few samples, little spread or slope <= 0.
+ */
 export function computeLine(fit: LineFit): Line | undefined {
   const { weight, x, y, xx, xy } = fit;
   if (weight < 3) return undefined;
