--- a/test/fake/fleet.ts
+++ b/test/fake/fleet.ts
@@ -135,7 +135,9 @@
     this.runUntil(this.now + span);
   }
 
-  /** Delivers an event to a host; a suspended host handles it when it resumes. */
+  /**
+   * Delivers an event to a host; a suspended host handles it when it resumes.
+   */
   deliver(host: FakeHost, event: Event): void {
     if (!host.alive) return;
     host.inbox.push(event);
--- a/test/fake/upstream.ts
+++ b/test/fake/upstream.ts
@@ -291,10 +291,10 @@
     return { type: "attemptFailed", attempt, upstream, failure };
   }
 
-  #sendToUpstream(other: FakeUpstream, run: () => void): void {
+  #sendToUpstream(target: FakeUpstream, run: () => void): void {
     const { network } = this.#fleet;
-    if (!network.reaches(this.layout.hall, other.layout.hall)) return;
-    this.#fleet.after(network.delay(this.layout.hall, other.layout.hall), run);
+    if (!network.reaches(this.layout.hall, target.layout.hall)) return;
+    this.#fleet.after(network.delay(this.layout.hall, target.layout.hall), run);
   }
 
   #sendToReader(attempt: AttemptId, event: Event): void {
--- a/test/soak/callers.ts
+++ b/test/soak/callers.ts
@@ -7,7 +7,7 @@
 export const CallKind = {
   safe: "safe",
   unsafe: "unsafe",
-  /** A stream that runs at maxRequests once. */
+  /** A stream that runs at most once. */
   stream: "stream",
   /** A stream that another replica may resume. */
   resumable: "resumable",
--- a/test/soak/checks.ts
+++ b/test/soak/checks.ts
@@ -84,11 +84,11 @@
   const wrong = successes.filter((call) => !isOwnAndComplete(call));
   return [
     ...wrong.map((call) => ({
-      rule: "whole and own answer",
+      rule: "responses are complete and match the request",
       detail: `${call.id} at ${call.host}: ${JSON.stringify(call.body)}`,
     })),
     ...faults.map((fault) => ({
-      rule: "own memory",
+      rule: "prefills are used by their own request",
       detail: `${fault.request}: ${fault.what}`,
     })),
   ];
@@ -131,7 +131,10 @@
     mustRunAtMostOnce(call) && [408, 421, 429, 503].includes(call.status)
   );
   return refused.filter((call) => ran.has(call.id))
-    .map((call) => ({ rule: "not run is true", detail: call.id }));
+    .map((call) => ({
+      rule: "refused requests have not run",
+      detail: call.id,
+    }));
 }
 
 function mustRunAtMostOnce({ kind }: CallResult): boolean {
@@ -145,7 +148,7 @@
   return arrivals.filter(({ replica, atMs }) =>
     atMs > (drainDeadlines.get(replica) ?? Infinity)
   ).map(({ request, replica }) => ({
-    rule: "leaving takes no new work",
+    rule: "draining replicas get no new requests",
     detail: `${request} at ${replica}`,
   }));
 }
@@ -157,7 +160,7 @@
     const decreased = reported.some((version, at) =>
       version < (reported[at - 1] ?? 0)
     );
-    const rule = "a change never reverts";
+    const rule = "route versions never decrease";
     if (decreased) {
       found.push({ rule, detail: `${processStart}: ${reported.join(", ")}` });
     }
@@ -168,7 +171,7 @@
 /** No process exits unless the test stops it. */
 function checkExits({ exits }: Observations): Violation[] {
   return exits.filter((exit) => !exit.isRequested).map((exit) => ({
-    rule: "no end of its own",
+    rule: "processes do not exit unless stopped",
     detail: `${exit.host}: code ${exit.code}, signal ${exit.signal}`,
   }));
 }
@@ -180,12 +183,12 @@
   { unrecoveredHosts, runningRequests }: Observations,
 ): Violation[] {
   const found = unrecoveredHosts.map((host) => ({
-    rule: "serves again",
+    rule: "hosts serve again after faults",
     detail: host,
   }));
   if (runningRequests === 0) return found;
   const detail = `${runningRequests} requests still run`;
-  return [...found, { rule: "nothing runs for nobody", detail }];
+  return [...found, { rule: "no request runs without a caller", detail }];
 }
 
 /**
@@ -211,7 +214,7 @@
   );
   if (late.length <= MAX_LATE_RUNS) return [];
   const detail = `${late.length} replicas, ${runs.length} in all`;
-  return [{ rule: "what crashes replicas is sent to none", detail }];
+  return [{ rule: "crashing requests are not sent", detail }];
 }
 
 /**
@@ -260,7 +263,7 @@
       );
       if (inWindow.length <= maxAllowed(perSecond)) continue;
       const detail = `${replica} at ${text}: ${inWindow.length} requests`;
-      found.push({ rule: "limits of replicas hold", detail });
+      found.push({ rule: "rate limits are respected", detail });
       break;
     }
   }
@@ -285,12 +288,12 @@
   const late = findSendsAfterDrainNotice(
     sent.filter((request) => uninterruptedHosts.has(request.host)),
   );
-  const pauses = findBackoffViolations(
+  const earlySends = findBackoffViolations(
     sent.filter((request) => unaffectedHosts.has(request.host)),
   );
   return [
-    ...late.map((detail) => ({ rule: "leaving is heard in answers", detail })),
-    ...pauses.map((detail) => ({ rule: "pauses are kept", detail })),
+    ...late.map((detail) => ({ rule: "drain notices are respected", detail })),
+    ...earlySends.map((detail) => ({ rule: "backoffs are respected", detail })),
   ];
 }
 
@@ -307,7 +310,7 @@
     receivedRequests.has(call.id) && !call.isComplete && !call.isAborted &&
     call.endedAtMs - call.sentAtMs < ROUTE_TIMEOUT_MS
   ).map((call) => ({
-    rule: "a planned stop cuts nothing",
+    rule: "planned stops interrupt no request",
     detail: `${call.id} at ${call.host}, status ${call.status}`,
   }));
 }
--- a/test/soak/inject_fault.ts
+++ b/test/soak/inject_fault.ts
@@ -109,13 +109,15 @@
     case FaultKind.serviceLimit:
       return limitRequests(
         world,
-        ready.filter((other) => other.standin.role === replica.standin.role),
+        ready.filter((candidate) =>
+          candidate.standin.role === replica.standin.role
+        ),
         fault,
       );
     case FaultKind.hallLimit:
       return limitRequests(
         world,
-        ready.filter((other) => other.hall === replica.hall),
+        ready.filter((candidate) => candidate.hall === replica.hall),
         fault,
       );
     case FaultKind.replicaDrainByResponse:
@@ -124,12 +126,14 @@
       return requireBackoff([replica], fault);
     case FaultKind.serviceBackoff:
       return requireBackoff(
-        ready.filter((other) => other.standin.role === replica.standin.role),
+        ready.filter((candidate) =>
+          candidate.standin.role === replica.standin.role
+        ),
         fault,
       );
     case FaultKind.hallBackoff:
       return requireBackoff(
-        ready.filter((other) => other.hall === replica.hall),
+        ready.filter((candidate) => candidate.hall === replica.hall),
         fault,
       );
     case FaultKind.storeRestored:
@@ -199,8 +203,8 @@
 }
 
 /**
- * Copies the store now and restores the copy when the fault ends. At that time a
- * replica starts to drain.
+ * Copies the store now and restores the copy when the fault ends. At that time
+ * a replica starts to drain.
  */
 function restoreStore(
   world: World,
--- a/test/soak/main.ts
+++ b/test/soak/main.ts
@@ -22,19 +22,21 @@
 const parseInteger = (text: string) => Number.parseInt(text, 10);
 const command = makeCommand(
   "otterhill-soak",
-  "Plays random faults on real processes and checks the promises.",
+  "Injects random faults into real processes and checks the guarantees.",
 )
   .addOption(
-    new Option("--seeds <count>", "runs").default(50).argParser(parseInteger),
+    new Option("--seeds <count>", "number of runs").default(50)
+      .argParser(parseInteger),
   )
   .addOption(
-    new Option("--first <seed>", "first seed; fresh by default")
+    new Option("--first <seed>", "first seed; random by default")
       .argParser(parseInteger),
   )
   .addOption(
-    new Option("--jobs <count>", "at once").default(3).argParser(parseInteger),
+    new Option("--jobs <count>", "concurrent runs").default(3)
+      .argParser(parseInteger),
   )
-  .option("--no-regressions", "leave out the seeds that once failed")
+  .option("--no-regressions", "leave out the regression seeds")
   .parse();
 for (const signal of ["SIGINT", "SIGTERM"] as const) {
   process.on(signal, () => process.exit(1));
--- a/test/soak/run.ts
+++ b/test/soak/run.ts
@@ -244,7 +244,7 @@
     const pollVersion = async () => {
       while (!this.#hasEnded) {
         const processStart =
-          `${host.process.name} life ${host.process.startCount}`;
+          `${host.process.name} start ${host.process.startCount}`;
         const version = await readRoutesVersion(host);
         const isSame = processStart.endsWith(` ${host.process.startCount}`);
         if (version !== undefined && isSame) {
--- a/test/soak/server_limit_test.ts
+++ b/test/soak/server_limit_test.ts
@@ -48,9 +48,9 @@
   replica: string,
   range: TimeRange,
 ): void {
-  const most = maxWithin(arrivalsAt(fleet, replica, range), LIMIT_WINDOW_MS);
-  const message = `${replica}: ${most} requests within ${LIMIT_WINDOW_MS} ms`;
-  assert.ok(most <= maxAllowed(PER_SECOND), message);
+  const max = maxWithin(arrivalsAt(fleet, replica, range), LIMIT_WINDOW_MS);
+  const message = `${replica}: ${max} requests within ${LIMIT_WINDOW_MS} ms`;
+  assert.ok(max <= maxAllowed(PER_SECOND), message);
 }
 
 /** Returns the used share of a replica's rate limit after the settling time. */
--- a/test/soak/world.ts
+++ b/test/soak/world.ts
@@ -254,8 +254,8 @@
   }
 
   /**
-   * Starts a new replica, then lets the given one report in its responses that it
-   * is draining, while its entry is ready. The result updates the entry.
+   * Starts a new replica, then lets the given one report in its responses that
+   * it is draining, while its entry is ready. The result updates the entry.
    */
   async drainByResponse(replica: WorldReplica): Promise<() => void> {
     const { role, id } = replica.standin;
