--- a/bench/crashes/main.ts
+++ b/bench/crashes/main.ts
@@ -22,7 +22,9 @@
     body: Buffer.alloc(bytes, "x"),
   };
   const ms = measure(() => fingerprintOf(request));
-  console.log(`${bytes} bytes of a body: ${ms.toFixed(3)} ms to name it`);
+  console.log(
+    `${bytes} bytes of a body: ${ms.toFixed(3)} ms to fingerprint it`,
+  );
 }
 
 for (const requests of [20, 1000]) {
@@ -45,6 +47,6 @@
   const size = JSON.stringify(encodeCrashes(table.all(0), 0)).length;
   console.log(
     `${requests} requests: ${ms.toFixed(3)} ms for one more crash, ` +
-      `${Math.round(size / 1000)} KB to tell all`,
+      `${Math.round(size / 1000)} KB to send all`,
   );
 }
--- a/bench/limits/main.ts
+++ b/bench/limits/main.ts
@@ -27,7 +27,7 @@
   const incarnation = nameOf(round % REPLICAS);
   emptyTable.observe({ incarnation, header: NONE, sentAt: round }, round);
 });
-console.log(`no limit known: ${observeUs.toFixed(2)} µs an answer`);
+console.log(`no limit known: ${observeUs.toFixed(2)} µs a response`);
 
 const fullTable = new LimitTable();
 fullTable.merge(Array.from({ length: REPLICAS }, (_, at) => ({
@@ -37,7 +37,7 @@
 })));
 const bytes = JSON.stringify(encodeLimits(fullTable.all(), 0)).length;
 console.log(
-  `${REPLICAS} limited replicas: ${Math.round(bytes / 1000)} KB to tell all, ` +
+  `${REPLICAS} limited replicas: ${Math.round(bytes / 1000)} KB to send all, ` +
     `${Math.round(bytes / REPLICAS)} bytes a change`,
 );
 
@@ -53,16 +53,16 @@
 }
 let granted = 0;
 const acquireUs = measure((round) => {
-  const taken = ledger.acquire({
+  const outcome = ledger.acquire({
     customer: nameOf(round % REPLICAS),
     units: 1,
     rate: { perSecond: PER_SECOND, burst: 0 },
     version: 0,
     mostWaitMs: 0,
   }, round * 1000 / 3800);
-  if (taken.type === "granted") granted += 1;
+  if (outcome.type === "granted") granted += 1;
 });
 console.log(
-  `an owner of all ${REPLICAS}, named by ${HOSTS} hosts, 3,800 asks a second: ` +
-    `${acquireUs.toFixed(1)} µs an ask, ${granted} of ${ROUNDS} granted`,
+  `an owner of all ${REPLICAS}, used by ${HOSTS} hosts, 3,800 requests a second: ` +
+    `${acquireUs.toFixed(1)} µs a request, ${granted} of ${ROUNDS} granted`,
 );
--- a/bench/policy/bound.ts
+++ b/bench/policy/bound.ts
@@ -1,7 +1,8 @@
 /**
- * Computes an upper bound on the goodput: one server with the sum of all prefill
- * rates and all shared prefixes cached, and one pool of decode slots. Requests
- * are served by deadline; if not all can be on time, the largest is dropped.
+ * Computes an upper bound on the goodput: one server with the sum of all
+ * prefill rates and all shared prefixes cached, and one pool of decode slots.
+ * Requests are served by deadline; if not all can be on time, the largest is
+ * dropped.
  */
 import { type Arrival, uncachedTokens } from "./arrivals.ts";
 import type { Workload } from "./workloads.ts";
--- a/bench/policy/room.ts
+++ b/bench/policy/room.ts
@@ -49,19 +49,22 @@
 /** Whether the first token of a request could have arrived within `leftMs`. */
 export function couldServe(
   fleet: FakeFleet,
-  got: CallRecord,
+  callRecord: CallRecord,
   leftMs: number,
 ): boolean {
   const { now } = fleet;
-  const { prefixes, promptTokens } = callerRequest(got.id, got.call);
+  const { prefixes, promptTokens } = callerRequest(
+    callRecord.id,
+    callRecord.call,
+  );
   const upstreams = [...fleet.upstreams.values()];
-  const hasFreeSlot = upstreams.some(({ layout: laid, engine }) => {
+  const hasFreeSlot = upstreams.some(({ layout, engine }) => {
     const inUse = engine.running.size + engine.fetching.size;
-    return laid.role === "decode" && inUse < MAX_RUNNING;
+    return layout.role === "decode" && inUse < MAX_RUNNING;
   });
   if (!hasFreeSlot) return false;
   const engines = upstreams
-    .filter(({ layout: laid }) => laid.role === "prefill")
+    .filter(({ layout }) => layout.role === "prefill")
     .map(({ engine }) => engine);
   const aheadMs = queuedWorkMs(fleet, engines);
   return engines.some((engine) => {
--- a/bench/policy/tally.ts
+++ b/bench/policy/tally.ts
@@ -85,8 +85,8 @@
   }
 
   #isCounted(request: string): boolean {
-    const got = this.#fleet.callRecords.get(request);
-    return got !== undefined && got.sentAt >= this.#startedAt;
+    const callRecord = this.#fleet.callRecords.get(request);
+    return callRecord !== undefined && callRecord.sentAt >= this.#startedAt;
   }
 
   #noteError(order: Extract<Order, { type: "replyError" }>): void {
@@ -94,11 +94,11 @@
     this.#miss(order.error);
     if (order.error !== "overloaded") return;
     this.#refused += 1;
-    const got = this.#fleet.callRecords.get(order.request);
-    if (!got) return;
-    const left = got.sentAt + this.#targetOf(got.call.customer) -
+    const callRecord = this.#fleet.callRecords.get(order.request);
+    if (!callRecord) return;
+    const left = callRecord.sentAt + this.#targetOf(callRecord.call.customer) -
       this.#fleet.now;
-    if (couldServe(this.#fleet, got, left)) this.#refusedWrongly += 1;
+    if (couldServe(this.#fleet, callRecord, left)) this.#refusedWrongly += 1;
   }
 
   #targetOf(name = ""): number {
@@ -107,15 +107,15 @@
 
   #noteEnd(id: string): void {
     if (!this.#isCounted(id)) return;
-    const got = this.#fleet.callRecords.get(id);
-    if (!got || got.isCancelled) return;
-    const firstMs = (got.firstTokenAt ?? Infinity) - got.sentAt;
-    const span = this.#fleet.now - (got.firstTokenAt ?? this.#fleet.now);
-    const tokens = got.call.outputTokens ?? 1;
+    const callRecord = this.#fleet.callRecords.get(id);
+    if (!callRecord || callRecord.isCancelled) return;
+    const firstMs = (callRecord.firstTokenAt ?? Infinity) - callRecord.sentAt;
+    const span = this.#fleet.now - (callRecord.firstTokenAt ?? this.#fleet.now);
+    const tokens = callRecord.call.outputTokens ?? 1;
     const betweenMs = tokens > 1 ? span / (tokens - 1) : 0;
     record(this.#first, firstMs);
     record(this.#between, betweenMs);
-    const late = firstMs > this.#targetOf(got.call.customer);
+    const late = firstMs > this.#targetOf(callRecord.call.customer);
     const slow = betweenMs > 35;
     if (late) this.#miss("first token late");
     else if (slow) this.#miss("between tokens slow");
--- a/bench/policy/trial.ts
+++ b/bench/policy/trial.ts
@@ -185,7 +185,7 @@
       const hosts = [...fleet.hosts.values()]
         .filter((host) => host.alive)
         .map((host) => host.id);
-      const got = fleet.call({
+      const callRecord = fleet.call({
         host: hosts[(number * 7 + seed) % hosts.length] ?? "",
         customer: arrival.kind.customer,
         service: workload.service,
@@ -197,7 +197,7 @@
       });
       const disconnects = (number * 31 + seed) % 100 < cancelShare * 100;
       if (disconnects) {
-        fleet.after(150 + number % 700, () => fleet.cancelCall(got));
+        fleet.after(150 + number % 700, () => fleet.cancelCall(callRecord));
       }
     });
   }
--- a/bench/replicas/main.ts
+++ b/bench/replicas/main.ts
@@ -36,7 +36,7 @@
     followed.applyDelta({ ...emptyDelta, revision })
   );
   console.log(
-    `${count} replicas: whole listing ${full.toFixed(3)} ms, ` +
+    `${count} replicas: full listing ${full.toFixed(3)} ms, ` +
       `a delta without changes ${delta.toFixed(4)} ms`,
   );
 }
