--- a/bench/policy/room.ts
+++ b/bench/policy/room.ts
@@ -39,7 +39,7 @@
       hitBlocks(engine.cache, job.prefixes) * blockTokens,
     0,
   );
-  const startAt = Math.max(now, engine.prefillNow?.endsAt ?? 0);
+  const startAt = Math.max(now, engine.runningPrefill?.endsAt ?? 0);
   const prefilledAt = startAt + queued / prefillRate * 1000 +
     prefillTimeMs(engine, promptTokens, prefixes);
   const linkAt = Math.max(engine.linkFreeAt, prefilledAt);
--- a/bench/policy/tally.ts
+++ b/bench/policy/tally.ts
@@ -54,7 +54,7 @@
     const sums = { prefilled: 0, thrown: 0, hits: 0, prompts: 0 };
     for (const { engine: { record } } of this.#fleet.upstreams.values()) {
       sums.prefilled += record.prefilledTokens;
-      sums.thrown += record.thrownTokens;
+      sums.thrown += record.wastedTokens;
       sums.hits += record.hitTokens;
       sums.prompts += record.promptTokens;
     }
--- a/src/programs/demo/main.ts
+++ b/src/programs/demo/main.ts
@@ -87,7 +87,7 @@
   let discarded = 0;
   for (const { record } of fleet.engines) {
     prefilled += record.prefilledTokens;
-    discarded += record.thrownTokens;
+    discarded += record.wastedTokens;
   }
   const share = prefilled === 0 ? 0 : discarded / prefilled * 100;
   return `wasted prefill ${share.toFixed(1)}% of ${prefilled} tokens`;
--- a/src/standins/engine/cache.ts
+++ b/src/standins/engine/cache.ts
@@ -1,23 +1,23 @@
-/** The engine's prefix cache: blocks, least recently used first. */
+/** Prefix cache of the engine stand-in with least-recently-used eviction. */
 
-/** A prefix cache with its log of events. */
+/** A prefix cache and the log of its changes. */
 export type Cache = {
   readonly capacityBlocks: number;
+  /** Hashes of the cached blocks, least recently used first. */
   readonly blocks: Map<number, true>;
-  /** Newest last; the first one has sequence number `firstSequence`. */
+  /** Oldest first; the first event has sequence number `firstSequence`. */
   events: { readonly stored: boolean; readonly hash: number }[];
   firstSequence: number;
 };
 
-/** Events kept for readers that come late. */
+/** Maximum number of events retained for clients that poll the log. */
 const EVENT_LIMIT = 5000;
 
-/** An empty cache. */
 export function createCache(capacityBlocks: number): Cache {
   return { capacityBlocks, blocks: new Map(), events: [], firstSequence: 1 };
 }
 
-/** Leading blocks of a prompt that the cache holds. */
+/** Counts the leading blocks of a prompt that are cached. */
 export function hitBlocks(cache: Cache, prefixes: readonly number[]): number {
   let hits = 0;
   for (const hash of prefixes) {
@@ -27,21 +27,24 @@
   return hits;
 }
 
-/** Stores a prompt's blocks, the deepest to be evicted first. */
+/**
+ * Stores a prompt's blocks in reverse order, so that its last blocks are
+ * evicted first.
+ */
 export function storeBlocks(cache: Cache, prefixes: readonly number[]): void {
   for (const hash of [...prefixes].reverse()) {
-    const known = cache.blocks.delete(hash);
+    const wasCached = cache.blocks.delete(hash);
     cache.blocks.set(hash, true);
-    if (!known) note(cache, true, hash);
+    if (!wasCached) recordEvent(cache, true, hash);
   }
   for (const hash of cache.blocks.keys()) {
     if (cache.blocks.size <= cache.capacityBlocks) return;
     cache.blocks.delete(hash);
-    note(cache, false, hash);
+    recordEvent(cache, false, hash);
   }
 }
 
-function note(cache: Cache, stored: boolean, hash: number): void {
+function recordEvent(cache: Cache, stored: boolean, hash: number): void {
   cache.events.push({ stored, hash });
   if (cache.events.length <= EVENT_LIMIT) return;
   const dropped = cache.events.length - EVENT_LIMIT / 2;
--- a/src/standins/engine/decode.ts
+++ b/src/standins/engine/decode.ts
@@ -1,11 +1,11 @@
-/** The engine's decode side: slots, fetched caches, steps and streams. */
+/** Decode part of the engine stand-in: slots, KV cache fetches and steps. */
 import murmurhash from "murmurhash";
 import { type DecodeJob, type Engine, type Job, noteStart } from "./model.ts";
 
-/** How long an ended stream can still be resumed. */
-const FINISHED_MS = 3000;
+/** How long a finished stream can still be resumed. */
+const RESUME_WINDOW_MS = 3000;
 
-/** Queues a decode whose cache is at another engine. */
+/** Queues a decode whose KV cache is fetched from another engine. */
 export function acceptDecode(
   engine: Engine,
   job: Job,
@@ -17,17 +17,17 @@
   fillSlots(engine, now);
 }
 
-/** Queues a decode whose prefill was done here. */
-export function acceptLocal(engine: Engine, job: Job, now: number): void {
+/** Queues a decode whose prefill ran on this engine. */
+export function acceptLocalDecode(engine: Engine, job: Job, now: number): void {
   engine.decodeQueue.push({ job, produced: 0, sent: 0 });
   fillSlots(engine, now);
 }
 
-/** Gives free slots to waiting decodes. */
+/** Starts queued decodes while slots are free. */
 export function fillSlots(engine: Engine, now: number): void {
   while (engine.decodeQueue.length > 0) {
-    const taken = engine.running.size + engine.fetching.size;
-    if (taken >= engine.parameters.slots) return;
+    const usedSlots = engine.running.size + engine.fetching.size;
+    if (usedSlots >= engine.parameters.slots) return;
     const next = engine.decodeQueue.shift();
     if (!next) return;
     if (next.source) startFetch(engine, next, next.source);
@@ -45,7 +45,7 @@
   engine.outputs.push({ type: "fetch", attempt, ...source });
 }
 
-/** The cache has come, or can't come. */
+/** Handles the end of a KV cache fetch, successful or failed. */
 export function endFetch(
   engine: Engine,
   attempt: string,
@@ -65,20 +65,20 @@
   if (engine.stepEndsAt === Infinity) startStep(engine, now);
 }
 
-/** Starts the next step of the batch, if there is one. */
+/** Starts the next decode step when the batch is not empty. */
 export function startStep(engine: Engine, now: number): void {
   if (engine.running.size === 0) {
     engine.stepEndsAt = Infinity;
     return;
   }
   const { stepBaseMs, stepPerRequestMs, stepBesidePrefill } = engine.parameters;
-  const beside = engine.prefillNow ? stepBesidePrefill : 1;
-  const plain = stepBaseMs + stepPerRequestMs * engine.running.size;
-  engine.stepMs = plain * beside * engine.slowdown;
+  const prefillFactor = engine.runningPrefill ? stepBesidePrefill : 1;
+  const batchMs = stepBaseMs + stepPerRequestMs * engine.running.size;
+  engine.stepMs = batchMs * prefillFactor * engine.slowdown;
   engine.stepEndsAt = now + engine.stepMs;
 }
 
-/** Ends a step: every running request has one more token. */
+/** Ends a step: each running request produces one token. */
 export function endStep(engine: Engine, now: number): void {
   for (const decode of engine.running.values()) {
     decode.produced += 1;
@@ -88,17 +88,17 @@
     if (due) sendTokens(engine, decode, decode.sent);
     if (!last) continue;
     engine.running.delete(decode.job.attempt);
-    const until = now + FINISHED_MS;
-    engine.finished.set(decode.job.attempt, { ...decode, until });
+    const expiresAt = now + RESUME_WINDOW_MS;
+    engine.finished.set(decode.job.attempt, { ...decode, expiresAt });
   }
   fillSlots(engine, now);
   startStep(engine, now);
-  forgetFinished(engine, now);
+  expireFinished(engine, now);
 }
 
-function forgetFinished(engine: Engine, now: number): void {
+function expireFinished(engine: Engine, now: number): void {
   for (const [attempt, decode] of engine.finished) {
-    if (now < decode.until) return;
+    if (now < decode.expiresAt) return;
     engine.finished.delete(attempt);
   }
 }
@@ -116,21 +116,31 @@
   });
 }
 
-/** The answer's words: they name their own prompt, place and attempt. */
+/**
+ * Generates response text in which each word names its prompt, position and
+ * attempt, so that a mixed-up response can be detected.
+ */
 export function answerText(
   job: Pick<Job, "attempt" | "text">,
   from: number,
   tokens: number,
 ): string {
-  const mark = murmurhash.v3(job.attempt).toString(36);
+  const attemptHash = murmurhash.v3(job.attempt).toString(36);
   const words: string[] = [];
-  for (let place = from; place < from + tokens; place += 1) {
-    words.push(`${job.text}.${place}~${mark} `);
+  for (
+    let position = from;
+    position < from + tokens;
+    position += 1
+  ) {
+    words.push(`${job.text}.${position}~${attemptHash} `);
   }
   return words.join("");
 }
 
-/** Sends again what a broken stream has lost; false when it's not here. */
+/**
+ * Resends the tokens after the first `after`; returns false when the attempt
+ * is unknown.
+ */
 export function resumeDecode(
   engine: Engine,
   attempt: string,
@@ -142,18 +152,18 @@
   return true;
 }
 
-/** Takes an attempt out of the decode side; true when it was there. */
+/** Cancels an attempt's decode; returns true when there was one. */
 export function cancelDecode(
   engine: Engine,
   attempt: string,
   now: number,
 ): boolean {
-  const queued = engine.decodeQueue.findIndex((one) =>
-    one.job.attempt === attempt
+  const queued = engine.decodeQueue.findIndex((decode) =>
+    decode.job.attempt === attempt
   );
   if (queued >= 0) engine.decodeQueue.splice(queued, 1);
-  const fetched = engine.fetching.delete(attempt);
-  const ran = engine.running.delete(attempt);
+  const wasFetching = engine.fetching.delete(attempt);
+  const wasRunning = engine.running.delete(attempt);
   fillSlots(engine, now);
-  return queued >= 0 || fetched || ran;
+  return queued >= 0 || wasFetching || wasRunning;
 }
--- a/src/standins/engine/model.ts
+++ b/src/standins/engine/model.ts
@@ -1,34 +1,36 @@
 /**
- * A model engine's timing and memory, in virtual time: one prefill worker, a
- * decode batch with a step time, kept exports and a link of limited rate.
+ * Timing and memory of a simulated model engine: one prefill worker, a decode
+ * batch with a step time, exports and a link of limited bandwidth.
  */
 import { type Cache, createCache } from "./cache.ts";
 
-/** Everything that sets an engine's timing; see standin settings files. */
+/** Parameters of an engine's timing, set in the stand-ins' settings files. */
 export type EngineParameters = {
-  /** Decode requests at once. */
+  /** Maximum number of concurrent decodes. */
   readonly slots: number;
-  /** Prefill tokens a second. */
+  /** Prefilled tokens per second. */
   readonly prefillRate: number;
-  /** Decode step: base, and what each running request adds, in ms. */
+  /** Duration of a decode step without requests. */
   readonly stepBaseMs: number;
+  /** Time that each running request adds to a decode step. */
   readonly stepPerRequestMs: number;
-  /** A decode step beside a prefill takes this many times as long. */
+  /** Factor on the duration of a decode step while a prefill runs. */
   readonly stepBesidePrefill: number;
-  /** Prefix cache size, and tokens in one block. */
+  /** Capacity of the prefix cache. */
   readonly cacheTokens: number;
+  /** Tokens in one block of the prefix cache. */
   readonly blockTokens: number;
-  /** How long a prefill's export is kept. */
+  /** TTL of an export. */
   readonly exportMs: number;
-  /** Transfer of one token's KV cache on the idle link, in ms. */
+  /** Time to transfer one token's KV cache on the idle link. */
   readonly transferMsPerToken: number;
-  /** Tokens in one chunk of a stream, after the first. */
+  /** Tokens in each chunk of a stream after the first. */
   readonly chunkTokens: number;
-  /** Load reports show the state of this long ago. */
+  /** Delay of load reports. */
   readonly reportLagMs: number;
 };
 
-/** Defaults: an 8-accelerator replica of a middling model. */
+/** Defaults, typical of a mid-size model on 8 accelerators. */
 export const DEFAULT_ENGINE: EngineParameters = {
   slots: 48,
   prefillRate: 20_000,
@@ -43,35 +45,36 @@
   reportLagMs: 200,
 };
 
-/** A prompt as an engine sees it. */
+/** A request to an engine. */
 export type Job = {
   readonly attempt: string;
   readonly promptTokens: number;
   readonly prefixes: readonly number[];
   readonly outputTokens: number;
   readonly priority: number;
-  /** Seeds the answer's text, so that its owner can be told. */
+  /** Prefix of each word of the response, identifying the prompt. */
   readonly text: string;
 };
 
-/** A prefill that waits or runs; `local` goes on to decode here. */
+/** A queued or running prefill. */
 export type PrefillJob = {
   readonly job: Job;
+  /** Whether this engine also decodes the request. */
   readonly local: boolean;
   cachedTokens: number;
 };
 
-/** A finished prefill's cache, kept for a decode engine. */
-export type KeptExport = {
+/** A finished prefill's KV cache, retained for a decode engine. */
+export type RetainedExport = {
   readonly attempt: string;
   readonly tokens: number;
-  /** Those of them that were computed, not found in the cache. */
-  readonly computed: number;
-  until: number;
+  /** Tokens that were prefilled rather than found in the prefix cache. */
+  readonly computedTokens: number;
+  expiresAt: number;
   fetching: boolean;
 };
 
-/** A transfer out of this engine. */
+/** A transfer of an export to another engine. */
 export type Transfer = {
   readonly exportOf: string;
   readonly to: string;
@@ -79,16 +82,18 @@
   readonly endsAt: number;
 };
 
-/** A decode that waits for a slot, for its cache, or runs. */
+/** A queued, fetching or running decode. */
 export type DecodeJob = {
   readonly job: Job;
-  /** Where its cache is; absent when the prefill was done here. */
+  /** Location of the KV cache; absent when the prefill ran on this engine. */
   readonly source?: { readonly engine: string; readonly exportOf: string };
+  /** Tokens generated so far. */
   produced: number;
+  /** Tokens sent so far. */
   sent: number;
 };
 
-/** What an engine makes happen outside. */
+/** An effect of an engine that its server carries out. */
 export type Output =
   | {
     readonly type: "prefilled";
@@ -105,14 +110,14 @@
     readonly last: boolean;
   }
   | { readonly type: "failed"; readonly attempt: string }
-  /** Asks another engine for an export. */
+  /** Requests an export from another engine. */
   | {
     readonly type: "fetch";
     readonly attempt: string;
     readonly engine: string;
     readonly exportOf: string;
   }
-  /** Answers such a question of another engine. */
+  /** Ends another engine's request for an export. */
   | {
     readonly type: "fetched";
     readonly to: string;
@@ -120,13 +125,13 @@
     readonly ok: boolean;
   };
 
-/** What an engine has done so far, by its own record. */
-export type Record = {
-  /** Attempts that started here. */
+/** Counts of an engine's work since it started. */
+export type EngineRecord = {
+  /** Number of starts of each attempt. */
   readonly started: Map<string, number>;
   prefilledTokens: number;
-  /** Tokens prefilled for exports that nobody fetched. */
-  thrownTokens: number;
+  /** Tokens prefilled for attempts that expired or were cancelled. */
+  wastedTokens: number;
   hitTokens: number;
   promptTokens: number;
 };
@@ -138,33 +143,33 @@
   readonly epoch: number;
   readonly cache: Cache;
   readonly prefillQueue: PrefillJob[];
-  prefillNow: { readonly work: PrefillJob; readonly endsAt: number } | null;
-  readonly exports: Map<string, KeptExport>;
+  runningPrefill: { readonly work: PrefillJob; readonly endsAt: number } | null;
+  readonly exports: Map<string, RetainedExport>;
   readonly transfers: Transfer[];
   linkFreeAt: number;
-  /** No transfer makes headway until then. */
+  /** New transfers start at this time at the earliest. */
   stalledUntil: number;
-  /** Multiplies prefill and step times: a slow replica. */
+  /** Factor on prefill and step times, to simulate a slow replica. */
   slowdown: number;
   readonly decodeQueue: DecodeJob[];
   readonly fetching: Map<string, DecodeJob>;
   readonly running: Map<string, DecodeJob>;
-  /** Ended streams, kept a moment for resumes. */
-  readonly finished: Map<string, DecodeJob & { until: number }>;
+  /** Finished decodes whose streams can still be resumed. */
+  readonly finished: Map<string, DecodeJob & { expiresAt: number }>;
   stepEndsAt: number;
   stepMs: number;
   draining: boolean;
-  /** Its role as ordered; absent: as the host list says. */
+  /** Role set by an order; undefined when the host list sets it. */
   role: string | undefined;
-  /** Highest fence of any order so far. */
+  /** Highest fence of all orders received. */
   fence: number;
-  snapshots: { readonly at: number; readonly report: Report }[];
+  snapshots: { readonly at: number; readonly report: LoadReport }[];
   outputs: Output[];
-  readonly record: Record;
+  readonly record: EngineRecord;
 };
 
-/** The engine's load report. */
-export type Report = {
+/** Load report of an engine. */
+export type LoadReport = {
   readonly running: number;
   readonly slots: number;
   readonly prefillQueueTokens: number;
@@ -175,7 +180,7 @@
   readonly epoch: number;
 };
 
-/** Makes an engine; the epoch tells its runs apart. */
+/** Creates an engine; `epoch` distinguishes its restarts. */
 export function createEngine(
   id: string,
   parameters: EngineParameters,
@@ -188,7 +193,7 @@
     epoch,
     cache: createCache(blocks),
     prefillQueue: [],
-    prefillNow: null,
+    runningPrefill: null,
     exports: new Map(),
     transfers: [],
     linkFreeAt: 0,
@@ -208,14 +213,14 @@
     record: {
       started: new Map(),
       prefilledTokens: 0,
-      thrownTokens: 0,
+      wastedTokens: 0,
       hitTokens: 0,
       promptTokens: 0,
     },
   };
 }
 
-/** Notes in the engine's record that an attempt started. */
+/** Counts a start of an attempt. */
 export function noteStart(engine: Engine, attempt: string): void {
   const before = engine.record.started.get(attempt) ?? 0;
   engine.record.started.set(attempt, before + 1);
--- a/src/standins/engine/prefill.ts
+++ b/src/standins/engine/prefill.ts
@@ -1,67 +1,74 @@
-/** The engine's prefill side: queue, worker, exports and the link. */
+/** Prefill part of the engine stand-in: queue, worker, exports and link. */
 import { hitBlocks, storeBlocks } from "./cache.ts";
-import { acceptLocal } from "./decode.ts";
+import { acceptLocalDecode } from "./decode.ts";
 import {
   type Engine,
   type Job,
-  type KeptExport,
   noteStart,
   type PrefillJob,
+  type RetainedExport,
 } from "./model.ts";
 
-/** Shortest prefill: one pass over the model. */
-const LEAST_PREFILL_MS = 8;
+/** Minimum duration of a prefill, one pass over the model. */
+const MIN_PREFILL_MS = 8;
 
-/** Queues a prefill whose cache another engine will fetch. */
+/** Queues a prefill whose KV cache another engine fetches. */
 export function acceptPrefill(engine: Engine, job: Job, now: number): void {
   noteStart(engine, job.attempt);
   enqueue(engine, { job, local: false, cachedTokens: 0 }, now);
 }
 
-/** Queues a prefill that goes on to decode here. */
-export function acceptWhole(engine: Engine, job: Job, now: number): void {
+/** Queues a prefill whose decode runs on this engine too. */
+export function acceptLocalPrefill(
+  engine: Engine,
+  job: Job,
+  now: number,
+): void {
   noteStart(engine, job.attempt);
   enqueue(engine, { job, local: true, cachedTokens: 0 }, now);
 }
 
 function enqueue(engine: Engine, work: PrefillJob, now: number): void {
   const queue = engine.prefillQueue;
-  const later = queue.findIndex((one) => one.job.priority < work.job.priority);
-  queue.splice(later < 0 ? queue.length : later, 0, work);
+  const next = queue.findIndex((queued) =>
+    queued.job.priority < work.job.priority
+  );
+  queue.splice(next < 0 ? queue.length : next, 0, work);
   startPrefill(engine, now);
 }
 
 /** Starts the next prefill when the worker is free. */
 export function startPrefill(engine: Engine, now: number): void {
-  if (engine.prefillNow) return;
+  if (engine.runningPrefill) return;
   const work = engine.prefillQueue.shift();
   if (!work) return;
   const { parameters, cache } = engine;
   const hits = hitBlocks(cache, work.job.prefixes) * parameters.blockTokens;
   work.cachedTokens = Math.min(hits, work.job.promptTokens - 1);
-  const cold = work.job.promptTokens - work.cachedTokens;
-  const workMs = cold / parameters.prefillRate * 1000 * engine.slowdown;
-  const endsAt = now + Math.max(LEAST_PREFILL_MS, workMs);
-  engine.prefillNow = { work, endsAt };
+  const uncachedTokens = work.job.promptTokens - work.cachedTokens;
+  const workMs = uncachedTokens / parameters.prefillRate * 1000 *
+    engine.slowdown;
+  const endsAt = now + Math.max(MIN_PREFILL_MS, workMs);
+  engine.runningPrefill = { work, endsAt };
 }
 
-/** Ends the running prefill. */
+/** Ends the running prefill and starts the next one. */
 export function endPrefill(engine: Engine, now: number): void {
-  const done = engine.prefillNow;
-  if (!done) return;
-  engine.prefillNow = null;
-  const { job, local, cachedTokens } = done.work;
+  const finished = engine.runningPrefill;
+  if (!finished) return;
+  engine.runningPrefill = null;
+  const { job, local, cachedTokens } = finished.work;
   const { record } = engine;
   storeBlocks(engine.cache, job.prefixes);
   record.prefilledTokens += job.promptTokens - cachedTokens;
   record.hitTokens += cachedTokens;
   record.promptTokens += job.promptTokens;
-  if (local) acceptLocal(engine, job, now);
-  else keepExport(engine, job, cachedTokens, now);
+  if (local) acceptLocalDecode(engine, job, now);
+  else retainExport(engine, job, cachedTokens, now);
   startPrefill(engine, now);
 }
 
-function keepExport(
+function retainExport(
   engine: Engine,
   job: Job,
   cachedTokens: number,
@@ -70,8 +77,8 @@
   engine.exports.set(job.attempt, {
     attempt: job.attempt,
     tokens: job.promptTokens,
-    computed: job.promptTokens - cachedTokens,
-    until: now + engine.parameters.exportMs,
+    computedTokens: job.promptTokens - cachedTokens,
+    expiresAt: now + engine.parameters.exportMs,
     fetching: false,
   });
   const { attempt, promptTokens } = job;
@@ -90,18 +97,18 @@
   to: { readonly engine: string; readonly attempt: string },
   now: number,
 ): void {
-  const kept = engine.exports.get(exportOf);
-  if (kept?.fetching) dropTransfer(engine, exportOf);
-  if (!kept) {
+  const retained = engine.exports.get(exportOf);
+  if (retained?.fetching) removeTransfer(engine, exportOf);
+  if (!retained) {
     const { attempt } = to;
-    const answer = { type: "fetched", to: to.engine, attempt } as const;
-    engine.outputs.push({ ...answer, ok: false });
+    const output = { type: "fetched", to: to.engine, attempt } as const;
+    engine.outputs.push({ ...output, ok: false });
     return;
   }
-  kept.fetching = true;
+  retained.fetching = true;
   const startsAt = Math.max(now, engine.linkFreeAt, engine.stalledUntil);
-  const spanMs = kept.tokens * engine.parameters.transferMsPerToken;
-  const endsAt = startsAt + spanMs;
+  const transferMs = retained.tokens * engine.parameters.transferMsPerToken;
+  const endsAt = startsAt + transferMs;
   engine.linkFreeAt = endsAt;
   engine.transfers.push({
     exportOf,
@@ -111,65 +118,68 @@
   });
 }
 
-/** Ends transfers that are due and frees their exports. */
+/** Ends the transfers that are due and frees their exports. */
 export function endTransfers(engine: Engine, now: number): void {
   while ((engine.transfers[0]?.endsAt ?? Infinity) <= now) {
-    const done = engine.transfers.shift();
-    if (!done) return;
-    const ok = engine.exports.delete(done.exportOf);
-    const { to, attempt } = done;
+    const finished = engine.transfers.shift();
+    if (!finished) return;
+    const ok = engine.exports.delete(finished.exportOf);
+    const { to, attempt } = finished;
     engine.outputs.push({ type: "fetched", to, attempt, ok });
   }
 }
 
-/** Throws away exports that nobody fetched in time. */
+/** Removes exports that were not fetched within their TTL. */
 export function expireExports(engine: Engine, now: number): void {
-  for (const kept of engine.exports.values()) {
-    if (kept.fetching || now < kept.until) continue;
-    engine.exports.delete(kept.attempt);
-    engine.record.thrownTokens += kept.computed;
+  for (const retained of engine.exports.values()) {
+    if (retained.fetching || now < retained.expiresAt) continue;
+    engine.exports.delete(retained.attempt);
+    engine.record.wastedTokens += retained.computedTokens;
   }
 }
 
-/** Takes an attempt out of the prefill side; true when it was there. */
+/** Cancels an attempt's prefill or export; returns true when it had one. */
 export function cancelPrefill(
   engine: Engine,
   attempt: string,
   now: number,
 ): boolean {
-  const queued = engine.prefillQueue.findIndex((one) =>
-    one.job.attempt === attempt
+  const queued = engine.prefillQueue.findIndex((work) =>
+    work.job.attempt === attempt
   );
   if (queued >= 0) engine.prefillQueue.splice(queued, 1);
-  const kept = engine.exports.get(attempt);
-  if (kept) cancelExport(engine, kept);
-  const running = engine.prefillNow?.work.job.attempt === attempt;
+  const retained = engine.exports.get(attempt);
+  if (retained) cancelExport(engine, retained);
+  const running = engine.runningPrefill?.work.job.attempt === attempt;
   if (running) {
-    engine.record.thrownTokens += spentTokens(engine, now);
-    engine.prefillNow = null;
+    engine.record.wastedTokens += interruptedTokens(engine, now);
+    engine.runningPrefill = null;
     startPrefill(engine, now);
   }
-  return queued >= 0 || kept !== undefined || running;
+  return queued >= 0 || retained !== undefined || running;
 }
 
-function cancelExport(engine: Engine, kept: KeptExport): void {
-  engine.exports.delete(kept.attempt);
-  engine.record.thrownTokens += kept.computed;
-  dropTransfer(engine, kept.attempt);
+function cancelExport(engine: Engine, retained: RetainedExport): void {
+  engine.exports.delete(retained.attempt);
+  engine.record.wastedTokens += retained.computedTokens;
+  removeTransfer(engine, retained.attempt);
 }
 
-/** A transfer that nobody waits for any more. */
-function dropTransfer(engine: Engine, exportOf: string): void {
-  const place = engine.transfers.findIndex((one) => one.exportOf === exportOf);
-  if (place >= 0) engine.transfers.splice(place, 1);
+/** Removes the transfer of an export whose recipient no longer waits. */
+function removeTransfer(engine: Engine, exportOf: string): void {
+  const index = engine.transfers.findIndex((transfer) =>
+    transfer.exportOf === exportOf
+  );
+  if (index >= 0) engine.transfers.splice(index, 1);
 }
 
-function spentTokens(engine: Engine, now: number): number {
-  const running = engine.prefillNow;
+/** Returns the tokens that the running prefill has computed so far. */
+function interruptedTokens(engine: Engine, now: number): number {
+  const running = engine.runningPrefill;
   if (!running) return 0;
   const { job, cachedTokens } = running.work;
   const leftMs = Math.max(0, running.endsAt - now);
-  const left = leftMs / 1000 * engine.parameters.prefillRate /
+  const leftTokens = leftMs / 1000 * engine.parameters.prefillRate /
     engine.slowdown;
-  return Math.max(0, job.promptTokens - cachedTokens - left);
+  return Math.max(0, job.promptTokens - cachedTokens - leftTokens);
 }
--- a/src/standins/engine/server.ts
+++ b/src/standins/engine/server.ts
@@ -1,4 +1,4 @@
-/** The engine stand-in as a process; docs/UPSTREAM.md is its interface. */
+/** HTTP server of the engine stand-in; docs/UPSTREAM.md specifies its API. */
 import type { ServerResponse } from "node:http";
 import type { EngineSettings } from "../../settings/mod.ts";
 import { callText } from "../../shell/upstreams/http.ts";
@@ -10,31 +10,31 @@
 } from "../http/json_server.ts";
 import {
   acceptDecode,
+  acceptLocalPrefill,
   acceptPrefill,
-  acceptWhole,
   advance,
   cacheEvents,
   cancel,
   createEngine,
   endFetch,
   type Engine,
-  held,
-  load,
-  nextAt,
+  heldAttempts,
+  loadReport,
+  nextEventAt,
   type Output,
   resumeDecode,
   sendExport,
 } from "./mod.ts";
 import {
-  Body,
+  CompletionBody,
   jobOf,
-  Order,
+  type OpenResponse,
+  OrderBody,
   parametersOf,
-  type Reader,
   startEvents,
 } from "./wire.ts";
 
-/** How long a transfer between engines may take. */
+/** Idle timeout of a transfer between engines. */
 const FETCH_TIMEOUT_MS = 30_000;
 
 /** Starts an engine stand-in. */
@@ -48,8 +48,8 @@
 class EngineServer {
   readonly #settings: EngineSettings;
   readonly #engine: Engine;
-  readonly #readers = new Map<string, Reader>();
-  readonly #fetchers = new Map<string, ServerResponse>();
+  readonly #openResponses = new Map<string, OpenResponse>();
+  readonly #exportResponses = new Map<string, ServerResponse>();
   #address = "";
   #timer: NodeJS.Timeout | undefined;
 
@@ -76,10 +76,10 @@
     const [, , kind, id, verb] = parts;
     if (kind === "load") return this.#sendLoad(response);
     if (kind === "cache") return this.#sendCache(url, response);
-    if (kind === "orders") return this.#takeOrder(exchange);
+    if (kind === "orders") return this.#applyOrder(exchange);
     if (kind === "exports" && id) return this.#sendExport(id, exchange);
     if (kind === "requests" && !id) {
-      return sendJson(response, 200, { requests: held(this.#engine) });
+      return sendJson(response, 200, { requests: heldAttempts(this.#engine) });
     }
     if (kind === "requests" && id && verb === "cancel") {
       return this.#cancel(id, response);
@@ -98,7 +98,7 @@
 
   #generate(exchange: Exchange, chat: boolean): void {
     const { response, headers } = exchange;
-    const body = Body.parse(JSON.parse(exchange.body));
+    const body = CompletionBody.parse(JSON.parse(exchange.body));
     if (this.#engine.draining) {
       response.setHeader("x-not-started", "true");
       return sendJson(response, 503, { error: "draining" });
@@ -108,41 +108,41 @@
     const now = performance.now();
     const stream = body.stream ?? false;
     const remote = params !== undefined && "remote_address" in params;
-    const prefill = params !== undefined && !remote;
-    const reader = { response, chat, stream, text: "" };
-    this.#readers.set(job.attempt, reader);
+    const prefillOnly = params !== undefined && !remote;
+    const open = { response, chat, stream, text: "" };
+    this.#openResponses.set(job.attempt, open);
     if (stream) startEvents(response);
-    if (prefill) acceptPrefill(this.#engine, job, now);
-    else if (!remote) acceptWhole(this.#engine, job, now);
+    if (prefillOnly) acceptPrefill(this.#engine, job, now);
+    else if (!remote) acceptLocalPrefill(this.#engine, job, now);
     else {
       const { remote_address: engine, export_of: exportOf } = params;
       acceptDecode(this.#engine, job, { engine, exportOf }, now);
     }
-    this.#touch();
+    this.#advance();
   }
 
   #resume(id: string, { headers, response }: Exchange): void {
     const after = Number(headers["last-event-id"] ?? 0);
-    const chat = this.#readers.get(id)?.chat ?? false;
+    const chat = this.#openResponses.get(id)?.chat ?? false;
     const known = this.#engine.running.has(id) || this.#engine.finished.has(id);
     if (!known) return sendJson(response, 404, { error: "unknown request" });
     startEvents(response);
-    const reader = { response, chat, stream: true, text: "" };
-    this.#readers.set(id, reader);
+    const open = { response, chat, stream: true, text: "" };
+    this.#openResponses.set(id, open);
     resumeDecode(this.#engine, id, after);
-    this.#touch();
+    this.#advance();
   }
 
   #cancel(id: string, response: ServerResponse): void {
     const known = cancel(this.#engine, id, performance.now());
-    this.#readers.get(id)?.response.destroy();
-    this.#readers.delete(id);
+    this.#openResponses.get(id)?.response.destroy();
+    this.#openResponses.delete(id);
     sendJson(response, 200, { known });
-    this.#touch();
+    this.#advance();
   }
 
   #sendLoad(response: ServerResponse): void {
-    const report = load(this.#engine, performance.now());
+    const report = loadReport(this.#engine, performance.now());
     sendJson(response, 200, {
       running: report.running,
       slots: report.slots,
@@ -160,8 +160,8 @@
     sendJson(response, 200, cacheEvents(this.#engine, after));
   }
 
-  #takeOrder({ body, response }: Exchange): void {
-    const order = Order.parse(JSON.parse(body));
+  #applyOrder({ body, response }: Exchange): void {
+    const order = OrderBody.parse(JSON.parse(body));
     if (order.fence < this.#engine.fence) {
       return sendJson(response, 409, { fence: this.#engine.fence });
     }
@@ -173,70 +173,74 @@
 
   #sendExport(id: string, { response }: Exchange): void {
     const attempt = `${id}#${performance.now()}`;
-    this.#fetchers.set(attempt, response);
+    this.#exportResponses.set(attempt, response);
     const to = { engine: "", attempt };
     sendExport(this.#engine, id, to, performance.now());
-    this.#touch();
+    this.#advance();
   }
 
-  /** Passes on what has happened and plans the next wake. */
-  #touch(): void {
+  /** Advances the engine, handles its outputs and schedules the next call. */
+  #advance(): void {
     for (const output of advance(this.#engine, performance.now())) {
-      this.#pass(output);
+      this.#handleOutput(output);
     }
     clearTimeout(this.#timer);
-    const next = nextAt(this.#engine);
+    const next = nextEventAt(this.#engine);
     if (next === Infinity) return;
-    const wait = Math.max(0, next - performance.now());
-    this.#timer = setTimeout(() => this.#touch(), wait);
+    const delayMs = Math.max(0, next - performance.now());
+    this.#timer = setTimeout(() => this.#advance(), delayMs);
   }
 
-  #pass(output: Output): void {
+  #handleOutput(output: Output): void {
     switch (output.type) {
       case "prefilled":
         return this.#sendPrefilled(output.attempt, output.cachedTokens);
       case "chunk":
         return this.#sendChunk(output);
       case "failed":
-        this.#readers.get(output.attempt)?.response.destroy();
-        this.#readers.delete(output.attempt);
+        this.#openResponses.get(output.attempt)?.response.destroy();
+        this.#openResponses.delete(output.attempt);
         return;
       case "fetch":
         void this.#fetch(output.attempt, output.engine, output.exportOf);
         return;
       case "fetched": {
-        const response = this.#fetchers.get(output.attempt);
-        this.#fetchers.delete(output.attempt);
+        const response = this.#exportResponses.get(output.attempt);
+        this.#exportResponses.delete(output.attempt);
         if (response) sendJson(response, output.ok ? 200 : 410, {});
         return;
       }
     }
   }
 
-  async #fetch(attempt: string, address: string, of: string): Promise<void> {
+  async #fetch(
+    attempt: string,
+    address: string,
+    exportOf: string,
+  ): Promise<void> {
     let ok = false;
     try {
-      const answer = await callText({
+      const response = await callText({
         address,
         method: "POST",
-        path: `/v1/exports/${encodeURIComponent(of)}`,
+        path: `/v1/exports/${encodeURIComponent(exportOf)}`,
         body: "",
         connectTimeoutMs: 1000,
         silenceTimeoutMs: FETCH_TIMEOUT_MS,
       });
-      ok = answer.status === 200;
+      ok = response.status === 200;
     } catch {
       ok = false;
     }
     endFetch(this.#engine, attempt, ok, performance.now());
-    this.#touch();
+    this.#advance();
   }
 
   #sendPrefilled(attempt: string, cachedTokens: number): void {
-    const reader = this.#readers.get(attempt);
-    this.#readers.delete(attempt);
-    if (!reader) return;
-    sendJson(reader.response, 200, {
+    const open = this.#openResponses.get(attempt);
+    this.#openResponses.delete(attempt);
+    if (!open) return;
+    sendJson(open.response, 200, {
       kv_transfer_params: {
         remote_address: this.#address,
         export_of: attempt,
@@ -248,23 +252,23 @@
   }
 
   #sendChunk(chunk: Extract<Output, { type: "chunk" }>): void {
-    const reader = this.#readers.get(chunk.attempt);
-    if (!reader) return;
-    if (chunk.last) this.#readers.delete(chunk.attempt);
+    const open = this.#openResponses.get(chunk.attempt);
+    if (!open) return;
+    if (chunk.last) this.#openResponses.delete(chunk.attempt);
     const finish = chunk.last ? "length" : null;
-    if (!reader.stream) {
-      reader.text += chunk.text;
+    if (!open.stream) {
+      open.text += chunk.text;
       if (!chunk.last) return;
-      const choice = { index: 0, text: reader.text, finish_reason: finish };
-      return sendJson(reader.response, 200, { choices: [choice] });
+      const choice = { index: 0, text: open.text, finish_reason: finish };
+      return sendJson(open.response, 200, { choices: [choice] });
     }
-    const inner = reader.chat
+    const inner = open.chat
       ? { delta: { content: chunk.text } }
       : { text: chunk.text };
     const choices = [{ index: 0, ...inner, finish_reason: finish }];
     const id = chunk.index + chunk.tokens;
     const data = JSON.stringify({ choices });
-    reader.response.write(`id: ${id}\ndata: ${data}\n\n`);
-    if (chunk.last) reader.response.end("data: [DONE]\n\n");
+    open.response.write(`id: ${id}\ndata: ${data}\n\n`);
+    if (chunk.last) open.response.end("data: [DONE]\n\n");
   }
 }
--- a/src/standins/engine/wire.ts
+++ b/src/standins/engine/wire.ts
@@ -1,4 +1,4 @@
-/** What goes over the wire between callers of the engine and its model. */
+/** Schemas of the engine stand-in's HTTP API and conversions to its model. */
 import type { ServerResponse } from "node:http";
 import murmurhash from "murmurhash";
 import * as z from "zod";
@@ -16,8 +16,8 @@
   remote_address: z.string(),
   export_of: z.string(),
 });
-/** The body of a completion or chat call. */
-export const Body = z.looseObject({
+/** Body of a completion or chat call. */
+export const CompletionBody = z.looseObject({
   prompt: z.string().optional(),
   messages: z.array(ChatMessage).optional(),
   max_tokens: z.number().optional(),
@@ -25,30 +25,31 @@
   stream: z.boolean().optional(),
   kv_transfer_params: z.union([RemoteDecode, RemotePrefill]).optional(),
 });
-/** An order to the engine. */
-export const Order = z.object({
+/** Body of an order, which sets the role or starts a drain. */
+export const OrderBody = z.object({
   fence: z.number(),
   drain: z.boolean().optional(),
   role: z.enum(["prefill", "decode"]).optional(),
 });
 
-/** Who reads an attempt's answer. */
-export type Reader = {
+/** An HTTP response that is still open for an attempt. */
+export type OpenResponse = {
   readonly response: ServerResponse;
   readonly chat: boolean;
   readonly stream: boolean;
+  /** Text of a response that is not streamed, sent when it is complete. */
   text: string;
 };
 
-/** Starts a stream of events. */
+/** Sends the headers of an event stream. */
 export function startEvents(response: ServerResponse): void {
   response.writeHead(200, { "content-type": "text/event-stream" });
   response.flushHeaders();
 }
 
-/** The engine's work for a call. */
+/** Converts a call to the engine's job. */
 export function jobOf(
-  body: z.infer<typeof Body>,
+  body: z.infer<typeof CompletionBody>,
   headers: Exchange["headers"],
 ): Job {
   const text = promptText(body);
@@ -63,7 +64,7 @@
   };
 }
 
-/** The model's parameters from a settings file. */
+/** Converts settings to the engine's parameters. */
 export function parametersOf(settings: EngineSettings): EngineParameters {
   const { engine } = settings;
   return {
--- a/src/standins/http/json_server.ts
+++ b/src/standins/http/json_server.ts
@@ -1,4 +1,4 @@
-/** A small HTTP server for the stand-ins: routes by method and path. */
+/** HTTP server that the stand-ins share. */
 import {
   createServer,
   type IncomingMessage,
@@ -8,7 +8,7 @@
 import { readBody } from "../../shell/callers/read_body.ts";
 import { parseAddress } from "../../util/address.ts";
 
-/** What a route gets. */
+/** A request with its response. */
 export type Exchange = {
   readonly method: string;
   readonly url: URL;
@@ -17,31 +17,31 @@
   readonly response: ServerResponse;
 };
 
-/** Largest body that a stand-in takes. */
-const BODY_LIMIT = 64 * 1024 * 1024;
+/** Maximum size of a request body. */
+const MAX_BODY_BYTES = 64 * 1024 * 1024;
 
-/** A stand-in that listens. */
+/** A stand-in that accepts connections. */
 export type RunningStandin = {
-  /** `IP:port`, the port filled in. */
+  /** `IP:port` with the bound port. */
   readonly address: string;
   stop(): void;
 };
 
-/** Starts a server; a route that throws answers with status 400. */
+/** Starts a server that responds with status 400 when `route` throws. */
 export async function startServer(
   address: string,
   route: (exchange: Exchange) => void,
 ): Promise<RunningStandin> {
   const server = createServer((request, response) => {
-    void exchange(request, response, route);
+    void handleRequest(request, response, route);
   });
-  const place = parseAddress(address);
+  const listenAddress = parseAddress(address);
   await new Promise<void>((resolve, reject) => {
     server.once("error", reject);
-    server.listen(place?.port, place?.host, resolve);
+    server.listen(listenAddress?.port, listenAddress?.host, resolve);
   });
   return {
-    address: `${place?.host}:${boundPort(server)}`,
+    address: `${listenAddress?.host}:${boundPort(server)}`,
     stop: () => {
       server.close();
       server.closeAllConnections();
@@ -54,12 +54,12 @@
   return typeof bound === "object" && bound ? bound.port : 0;
 }
 
-async function exchange(
+async function handleRequest(
   request: IncomingMessage,
   response: ServerResponse,
   route: (exchange: Exchange) => void,
 ): Promise<void> {
-  const body = await readBody(request, BODY_LIMIT);
+  const body = await readBody(request, MAX_BODY_BYTES);
   if (body.type !== "whole") return;
   try {
     route({
@@ -74,7 +74,7 @@
   }
 }
 
-/** Answers with JSON. */
+/** Sends a JSON response. */
 export function sendJson(
   response: ServerResponse,
   status: number,
--- a/src/standins/plain/model.ts
+++ b/src/standins/plain/model.ts
@@ -1,19 +1,19 @@
-/** A plain service in virtual time: a few calls at once, each runs a while. */
+/** Simulated plain service: limited concurrency and a fixed service time. */
 
-/** One call that runs. */
+/** A running call. */
 export type PlainCall = {
   readonly attempt: string;
   readonly body: string;
   readonly endsAt: number;
 };
 
-/** A call that has ended, with its answer. */
+/** Response to a finished call. */
 export type PlainResult = {
   readonly attempt: string;
   readonly body: string;
 };
 
-/** One plain service. */
+/** A plain service. */
 export type PlainService = {
   readonly id: string;
   readonly slots: number;
@@ -22,11 +22,10 @@
   readonly running: Map<string, PlainCall>;
   draining: boolean;
   readonly epoch: number;
-  /** Times that each body was run: the service's own record. */
-  readonly ran: Map<string, number>;
+  /** Number of calls that started with each body. */
+  readonly runCounts: Map<string, number>;
 };
 
-/** Makes a plain service. */
 export function createPlain(
   id: string,
   options: { readonly slots: number; readonly serviceMs: number },
@@ -39,11 +38,11 @@
     running: new Map(),
     draining: false,
     epoch,
-    ran: new Map(),
+    runCounts: new Map(),
   };
 }
 
-/** Takes a call. */
+/** Queues a call and starts it when a slot is free. */
 export function acceptCall(
   service: PlainService,
   attempt: string,
@@ -60,11 +59,14 @@
     if (!next) return;
     const endsAt = now + service.serviceMs;
     service.running.set(next.attempt, { ...next, endsAt });
-    service.ran.set(next.body, (service.ran.get(next.body) ?? 0) + 1);
+    service.runCounts.set(
+      next.body,
+      (service.runCounts.get(next.body) ?? 0) + 1,
+    );
   }
 }
 
-/** When the next call ends. */
+/** Returns the time when the next call ends. */
 export function nextEnd(service: PlainService): number {
   let next = Infinity;
   for (const call of service.running.values()) {
@@ -73,7 +75,7 @@
   return next;
 }
 
-/** Ends the calls that are due. */
+/** Ends the calls that are due and returns their results. */
 export function advancePlain(
   service: PlainService,
   now: number,
@@ -89,15 +91,15 @@
   return results;
 }
 
-/** The answer to a body. */
+/** Returns the response body to a request body. */
 export function plainAnswer(body: string): string {
   return JSON.stringify({ accepted: true, of: body });
 }
 
-/** Forgets a call; one that runs goes on to its end unheard. */
+/** Removes a queued or running call; returns true when there was one. */
 export function cancelCall(service: PlainService, attempt: string): boolean {
-  const place = service.waiting.findIndex((one) => one.attempt === attempt);
-  if (place >= 0) service.waiting.splice(place, 1);
-  const ran = service.running.delete(attempt);
-  return place >= 0 || ran;
+  const index = service.waiting.findIndex((call) => call.attempt === attempt);
+  if (index >= 0) service.waiting.splice(index, 1);
+  const wasRunning = service.running.delete(attempt);
+  return index >= 0 || wasRunning;
 }
--- a/src/standins/plain/server.ts
+++ b/src/standins/plain/server.ts
@@ -1,4 +1,4 @@
-/** The plain service stand-in as a process. */
+/** HTTP server of the plain service stand-in. */
 import type { ServerResponse } from "node:http";
 import type { PlainSettings } from "../../settings/mod.ts";
 import {
@@ -23,16 +23,16 @@
   const { slots, service_time } = settings.plain;
   const options = { slots, serviceMs: service_time };
   const service = createPlain(settings.id, options, Date.now());
-  const waiting = new Map<string, ServerResponse>();
+  const responses = new Map<string, ServerResponse>();
   const running = await startServer(settings.listen, (exchange) => {
-    serve(service, waiting, exchange);
+    serve(service, responses, exchange);
   });
   return { ...running, service };
 }
 
 function serve(
   service: PlainService,
-  waiting: Map<string, ServerResponse>,
+  responses: Map<string, ServerResponse>,
   exchange: Exchange,
 ): void {
   const { method, url, headers, body, response } = exchange;
@@ -43,18 +43,18 @@
   }
   if (url.pathname === "/v1/load") return sendLoad(service, response);
   if (url.pathname === "/v1/requests") {
-    const queued = service.waiting.map((one) => one.attempt);
+    const queued = service.waiting.map((call) => call.attempt);
     const requests = [...service.running.keys(), ...queued];
     return sendJson(response, 200, { requests });
   }
   if (url.pathname === "/v1/runs") {
-    return sendJson(response, 200, Object.fromEntries(service.ran));
+    return sendJson(response, 200, Object.fromEntries(service.runCounts));
   }
   if (method !== "POST") return sendJson(response, 404, {});
   const attempt = String(headers["x-request-id"] ?? Math.random());
-  waiting.set(attempt, response);
+  responses.set(attempt, response);
   acceptCall(service, attempt, body, performance.now());
-  wake(service, waiting);
+  scheduleAdvance(service, responses);
 }
 
 function sendLoad(service: PlainService, response: ServerResponse): void {
@@ -69,19 +69,19 @@
   });
 }
 
-function wake(
+function scheduleAdvance(
   service: PlainService,
-  waiting: Map<string, ServerResponse>,
+  responses: Map<string, ServerResponse>,
 ): void {
   const next = nextEnd(service);
   if (next === Infinity) return;
   setTimeout(() => {
     for (const { attempt, body } of advancePlain(service, performance.now())) {
-      const response = waiting.get(attempt);
-      waiting.delete(attempt);
+      const response = responses.get(attempt);
+      responses.delete(attempt);
       response?.setHeader("content-type", "application/json");
       response?.end(body);
     }
-    wake(service, waiting);
+    scheduleAdvance(service, responses);
   }, Math.max(1, Math.ceil(next - performance.now())));
 }
--- a/src/standins/platform/model.ts
+++ b/src/standins/platform/model.ts
@@ -1,4 +1,4 @@
-/** The platform: a transactional table, objects and the list of hosts. */
+/** Simulated platform: a transactional table, objects and the host list. */
 import type { HostList, ListEntry } from "../../core/mod.ts";
 
 /** A row of the table. */
@@ -8,30 +8,29 @@
   readonly value: string | null;
 };
 
-/** One conditional change; see docs/PLATFORM.md. */
+/** A conditional change; see docs/PLATFORM.md. */
 export type Change = {
   readonly key: string;
-  /** Null removes the row; absent: the row is only checked. */
+  /** Null removes the row; when absent, the row is only checked. */
   readonly value?: string | null;
   readonly ifRevision?: number;
   readonly ifValue?: string;
 };
 
-/** The platform's state. */
+/** State of the platform. */
 export type Platform = {
   revision: number;
   readonly rows: Map<string, Row>;
   readonly objects: Map<string, string>;
   list: HostList;
-  /** No call is answered. */
+  /** Whether calls get no response. */
   down: boolean;
-  /** Calls are answered this much later. */
+  /** Delay of each response. */
   slowMs: number;
-  /** This many next writes take effect without an answer. */
+  /** Number of next writes that are applied but get no response. */
   loseWrites: number;
 };
 
-/** An empty platform. */
 export function createPlatform(): Platform {
   return {
     revision: 0,
@@ -55,7 +54,7 @@
   changes: readonly Change[],
 ): WriteResult {
   const conflicts = changes
-    .filter((change) => !holds(platform, change))
+    .filter((change) => !conditionsHold(platform, change))
     .map((change) => change.key);
   if (conflicts.length > 0) return { ok: false, conflicts };
   platform.revision += 1;
@@ -67,7 +66,7 @@
   return { ok: true, revision };
 }
 
-function holds(platform: Platform, change: Change): boolean {
+function conditionsHold(platform: Platform, change: Change): boolean {
   const row = platform.rows.get(change.key);
   const { ifRevision, ifValue } = change;
   if (ifValue !== undefined && row?.value !== ifValue) return false;
@@ -77,7 +76,7 @@
   return row?.revision === ifRevision;
 }
 
-/** Rows under a prefix that changed after a revision, oldest first. */
+/** Returns the rows under a prefix that changed after a revision, in order. */
 export function readRows(
   platform: Platform,
   prefix: string,
@@ -88,7 +87,7 @@
     .sort((a, b) => a.revision - b.revision);
 }
 
-/** Changes the host list. */
+/** Replaces the host list. */
 export function putHosts(
   platform: Platform,
   entries: readonly ListEntry[],
--- a/src/standins/platform/server.ts
+++ b/src/standins/platform/server.ts
@@ -1,4 +1,4 @@
-/** The platform stand-in as a process; docs/PLATFORM.md is its interface. */
+/** HTTP server of the platform stand-in; docs/PLATFORM.md specifies its API. */
 import * as z from "zod";
 import {
   ListEntrySchema,
@@ -19,7 +19,7 @@
   writeRows,
 } from "./model.ts";
 
-const Changes = z.object({
+const WriteBody = z.object({
   changes: z.array(z.object({
     key: z.string(),
     value: z.string().nullable().exactOptional(),
@@ -27,15 +27,14 @@
     ifValue: z.string().exactOptional(),
   })),
 });
-const Faults = z.strictObject({
+const FaultsBody = z.strictObject({
   down: z.boolean().optional(),
   slow_ms: z.number().min(0).optional(),
   lose_writes: z.int().min(0).optional(),
 });
-const Leaving = z.object({ id: z.string(), leaving: z.boolean() });
-const Added = z.object({ hosts: z.array(ListEntrySchema) });
+const LeavingBody = z.object({ id: z.string(), leaving: z.boolean() });
+const HostListBody = z.object({ hosts: z.array(ListEntrySchema) });
 
-/** Starts the platform stand-in. */
 export async function startPlatform(
   settings: PlatformSettings,
 ): Promise<RunningStandin & { readonly platform: Platform }> {
@@ -54,17 +53,17 @@
     return sendJson(response, 200, {});
   }
   if (platform.down) return;
-  setTimeout(() => answer(platform, exchange), platform.slowMs);
+  setTimeout(() => respond(platform, exchange), platform.slowMs);
 }
 
 function setFaults(platform: Platform, body: string): void {
-  const faults = Faults.parse(JSON.parse(body));
+  const faults = FaultsBody.parse(JSON.parse(body));
   platform.down = faults.down ?? platform.down;
   platform.slowMs = faults.slow_ms ?? platform.slowMs;
   platform.loseWrites = faults.lose_writes ?? platform.loseWrites;
 }
 
-function answer(platform: Platform, exchange: Exchange): void {
+function respond(platform: Platform, exchange: Exchange): void {
   const { method, url, body, response } = exchange;
   const route = `${method} ${url.pathname}`;
   if (route === "GET /table") {
@@ -91,20 +90,20 @@
   sendJson(response, 404, { error: `No route ${route}` });
 }
 
-/** Replaces the whole list, or marks one entry as leaving. */
+/** Replaces the full list or sets one entry's `leaving` flag. */
 function changeHosts(platform: Platform, body: unknown): void {
-  const whole = Added.safeParse(body);
-  if (whole.success) {
-    return putHosts(platform, whole.data.hosts.map(decodeListEntry));
+  const list = HostListBody.safeParse(body);
+  if (list.success) {
+    return putHosts(platform, list.data.hosts.map(decodeListEntry));
   }
-  const { id, leaving } = Leaving.parse(body);
+  const { id, leaving } = LeavingBody.parse(body);
   const entries = platform.list.entries
-    .map((one) => one.id === id ? { ...one, leaving } : one);
+    .map((entry) => entry.id === id ? { ...entry, leaving } : entry);
   putHosts(platform, entries);
 }
 
 function write(platform: Platform, { body, response }: Exchange): void {
-  const { changes } = Changes.parse(JSON.parse(body));
+  const { changes } = WriteBody.parse(JSON.parse(body));
   const result = writeRows(platform, changes);
   if (platform.loseWrites > 0) {
     platform.loseWrites -= 1;
--- a/test/fake/upstream.ts
+++ b/test/fake/upstream.ts
@@ -2,8 +2,8 @@
 import type { AttemptId, CacheEvent, Event } from "../../src/core/mod.ts";
 import {
   acceptDecode,
+  acceptLocalPrefill,
   acceptPrefill,
-  acceptWhole,
   advance,
   cacheEvents,
   cancel,
@@ -11,9 +11,9 @@
   DEFAULT_ENGINE,
   endFetch,
   type Engine,
-  held,
-  load,
-  nextAt,
+  heldAttempts,
+  loadReport,
+  nextEventAt,
   type Output,
   resumeDecode,
   sendExport,
@@ -123,7 +123,7 @@
         ...this.plain.running.keys(),
         ...this.plain.waiting.map((call) => call.attempt),
       ]
-      : held(this.engine);
+      : heldAttempts(this.engine);
   }
 
   prefill(reader: FakeHost, order: FakeDecode): void {
@@ -135,8 +135,9 @@
   decode(reader: FakeHost, order: FakeDecode): void {
     const work = this.#startWork(reader, order);
     const now = this.#fleet.now;
-    if (order.transfer === undefined) acceptWhole(this.engine, work, now);
-    else acceptDecode(this.engine, work, JSON.parse(order.transfer), now);
+    if (order.transfer === undefined) {
+      acceptLocalPrefill(this.engine, work, now);
+    } else acceptDecode(this.engine, work, JSON.parse(order.transfer), now);
     this.update();
   }
 
@@ -194,7 +195,7 @@
         draining: plain.draining,
         epoch: plain.epoch,
       }
-      : load(this.engine, now);
+      : loadReport(this.engine, now);
     return { type: "loadReport", upstream: this.layout.id, report };
   }
 
@@ -234,7 +235,7 @@
       this.#sendToReader(attempt, event);
       this.#readers.delete(attempt);
     }
-    const next = Math.min(nextAt(this.engine), nextEnd(this.plain));
+    const next = Math.min(nextEventAt(this.engine), nextEnd(this.plain));
     const isScheduled = this.#nextUpdateAt > now && this.#nextUpdateAt <= next;
     if (next === Infinity || isScheduled) return;
     this.#nextUpdateAt = next;
