--- a/src/standins/engine/model.ts
+++ b/src/standins/engine/model.ts
@@ -136,7 +136,7 @@
   promptTokens: number;
 };
 
-/** One engine. */
+/** State of an engine. */
 export type Engine = {
   readonly id: string;
   readonly parameters: EngineParameters;
