--- a/src/shell/callers/answers.ts
+++ b/src/shell/callers/answers.ts
@@ -1,4 +1,4 @@
-/** Writes answers in OpenAI's shapes, and errors from the one table. */
+/** Writes responses and errors in the OpenAI API's format. */
 import type { ServerResponse } from "node:http";
 import {
   ANSWERS,
@@ -8,24 +8,24 @@
 } from "../../core/mod.ts";
 import { CompletionPath } from "./parse.ts";
 
-/** How a request ended without its whole answer. */
+/** Why a request ended without a complete response. */
 export type Refusal = {
   readonly error: ErrorKind;
   readonly ran: Ran;
   readonly retryAfterSeconds?: number;
-  /** What exactly was wrong with the request. */
+  /** Details on the error, appended to its message. */
   readonly detail?: string;
 };
 
-/** An open connection of one caller. */
+/** A call whose response is not finished. */
 export type OpenCall = {
   readonly call: CallerRequest;
   readonly response: ServerResponse;
-  /** Seconds since 1970, as OpenAI's answers carry. */
+  /** Unix time in seconds, sent as `created`. */
   readonly created: number;
 };
 
-/** The head and body of an error. */
+/** Returns the JSON body of an error. */
 export function errorBody(refusal: Refusal): string {
   const answer = ANSWERS[refusal.error];
   const detail = refusal.detail === undefined ? "" : `: ${refusal.detail}`;
@@ -40,26 +40,28 @@
   });
 }
 
-/** Answers with an error; a stream that has begun ends with it. */
+/** Sends an error, as the last event when a stream has started. */
 export function sendError(response: ServerResponse, refusal: Refusal): void {
   const body = errorBody(refusal);
   if (response.headersSent) {
     response.end(`data: ${body}\n\n`);
     return;
   }
-  const retry = refusal.retryAfterSeconds;
+  const retryAfter = refusal.retryAfterSeconds;
   response.writeHead(ANSWERS[refusal.error].status, {
     "content-type": "application/json",
     "x-otterhill-ran": refusal.ran,
-    ...(retry === undefined ? {} : { "retry-after": String(retry) }),
+    ...(retryAfter === undefined ? {} : { "retry-after": String(retryAfter) }),
   });
   response.end(body);
 }
 
-/** Passes a piece of a streamed answer on. */
+/** Sends a chunk of a streamed response. */
 export function sendChunk(open: OpenCall, text: string): void {
   startStream(open);
-  open.response.write(`data: ${JSON.stringify(piece(open, text, null))}\n\n`);
+  open.response.write(
+    `data: ${JSON.stringify(chunkBody(open, text, null))}\n\n`,
+  );
 }
 
 function startStream(open: OpenCall): void {
@@ -71,14 +73,18 @@
   });
 }
 
-/** Ends a streamed answer. */
+/** Ends a streamed response. */
 export function endStream(open: OpenCall, finish: string): void {
   startStream(open);
-  const last = JSON.stringify(piece(open, "", finish));
-  open.response.end(`data: ${last}\n\ndata: [DONE]\n\n`);
+  const lastChunk = JSON.stringify(chunkBody(open, "", finish));
+  open.response.end(`data: ${lastChunk}\n\ndata: [DONE]\n\n`);
 }
 
-function piece(open: OpenCall, text: string, finish: string | null): unknown {
+function chunkBody(
+  open: OpenCall,
+  text: string,
+  finish: string | null,
+): unknown {
   const { call, created } = open;
   const chat = call.path === CompletionPath.chat;
   const choice = chat
@@ -93,8 +99,8 @@
   };
 }
 
-/** Answers with a whole completion. */
-export function sendWhole(
+/** Sends a completion that is not streamed. */
+export function sendCompletion(
   open: OpenCall,
   answer: { readonly text: string; finish: string; tokens: number },
 ): void {
--- a/src/shell/callers/parse.ts
+++ b/src/shell/callers/parse.ts
@@ -1,4 +1,4 @@
-/** Reads callers' requests: OpenAI's completions and chat, plain services. */
+/** Parses callers' requests for completions, chats and plain services. */
 import type { IncomingHttpHeaders } from "node:http";
 import ms, { type StringValue } from "ms";
 import * as z from "zod";
@@ -7,25 +7,28 @@
 import { Err, Ok, type Result } from "../../util/result.ts";
 import { ChatMessage, measurePrompt, promptText } from "./prompt.ts";
 
-/** Output tokens when a request doesn't say. */
-const USUAL_MAX_TOKENS = 512;
-/** Longest Idempotency-Key taken. */
-const KEY_LIMIT = 255;
+/** Default of `max_tokens`. */
+const DEFAULT_MAX_TOKENS = 512;
+/** Maximum length of an Idempotency-Key header. */
+const MAX_KEY_LENGTH = 255;
 
-const Common = {
+const COMMON_FIELDS = {
   model: z.string().min(1),
   stream: z.boolean().optional(),
   max_tokens: z.int().min(1).optional(),
   max_completion_tokens: z.int().min(1).optional(),
   n: z.literal(1, { error: "only n = 1 is served" }).optional(),
 };
-const Completion = z.looseObject({ ...Common, prompt: z.string().min(1) });
+const Completion = z.looseObject({
+  ...COMMON_FIELDS,
+  prompt: z.string().min(1),
+});
 const Chat = z.looseObject({
-  ...Common,
+  ...COMMON_FIELDS,
   messages: z.array(ChatMessage).min(1),
 });
 
-/** A path that callers send completions to. */
+/** Paths of the completion API. */
 export const CompletionPath = {
   completions: "/v1/completions",
   chat: "/v1/chat/completions",
@@ -33,44 +36,44 @@
 /** One of the values of {@link CompletionPath}. */
 export type CompletionPath = typeof CompletionPath[keyof typeof CompletionPath];
 
-/** What every kind of request brings besides its body. */
-export type CallSource = {
+/** Options of {@link parseCompletion} and {@link parsePlain}. */
+export type CallOptions = {
   readonly id: RequestId;
   readonly headers: IncomingHttpHeaders;
   readonly body: string;
 };
 
-/** Reads a completion request. */
+/** Parses a completion or chat request. */
 export function parseCompletion(
   path: CompletionPath,
-  source: CallSource,
+  options: CallOptions,
 ): Result<CallerRequest, string> {
-  const json = parseJson(source.body);
+  const json = parseJson(options.body);
   if (json.err) return json;
   const schema = path === CompletionPath.chat ? Chat : Completion;
   const parsed = schema.safeParse(json.val);
   if (!parsed.success) return Err(issuesText(parsed.error));
   const value = parsed.data;
-  const measure = measurePrompt(promptText(value));
+  const promptMeasure = measurePrompt(promptText(value));
   const maxTokens = value.max_completion_tokens ?? value.max_tokens ??
-    USUAL_MAX_TOKENS;
-  return withHeaders(source, {
+    DEFAULT_MAX_TOKENS;
+  return withHeaders(options, {
     service: value.model,
     kind: "completion",
     path,
     stream: value.stream ?? false,
-    ...measure,
+    ...promptMeasure,
     maxTokens,
   });
 }
 
-/** Reads a call of a plain service. */
+/** Parses a call of a plain service. */
 export function parsePlain(
   service: string,
   path: string,
-  source: CallSource,
+  options: CallOptions,
 ): Result<CallerRequest, string> {
-  return withHeaders(source, {
+  return withHeaders(options, {
     service,
     kind: "plain",
     path,
@@ -81,7 +84,7 @@
   });
 }
 
-type Inner = Pick<
+type RequestFields = Pick<
   CallerRequest,
   | "service"
   | "kind"
@@ -93,13 +96,15 @@
 >;
 
 function withHeaders(
-  source: CallSource,
-  inner: Inner,
+  options: CallOptions,
+  fields: RequestFields,
 ): Result<CallerRequest, string> {
-  const { headers } = source;
+  const { headers } = options;
   const callerKey = header(headers, "idempotency-key");
-  if (callerKey !== undefined && callerKey.length > KEY_LIMIT) {
-    return Err(`Idempotency-Key: expected at most ${KEY_LIMIT} characters`);
+  if (callerKey !== undefined && callerKey.length > MAX_KEY_LENGTH) {
+    return Err(
+      `Idempotency-Key: expected at most ${MAX_KEY_LENGTH} characters`,
+    );
   }
   const patience = header(headers, "x-otterhill-patience");
   const patienceMs = patience && ms(patience as StringValue);
@@ -108,17 +113,17 @@
   }
   return Ok({
     type: "callerRequest",
-    request: source.id,
+    request: options.id,
     keyHash: sha256(apiKey(headers)),
-    body: source.body,
+    body: options.body,
     once: header(headers, "x-otterhill-once") === "true",
-    ...inner,
+    ...fields,
     ...(callerKey === undefined ? {} : { callerKey }),
     ...(typeof patienceMs === "number" ? { patienceMs } : {}),
   });
 }
 
-/** The API key that a request brings; "" for none. */
+/** Returns the API key of a request, "" when it has none. */
 export function apiKey(headers: IncomingHttpHeaders): string {
   const [scheme, key] = (headers.authorization ?? "").split(" ");
   return scheme?.toLowerCase() === "bearer" ? key ?? "" : "";
--- a/src/shell/callers/prompt.ts
+++ b/src/shell/callers/prompt.ts
@@ -1,20 +1,19 @@
-/** Measures a prompt: its tokens, and hashes of its leading blocks. */
+/** Estimates a prompt's tokens and hashes its leading blocks. */
 import murmurhash from "murmurhash";
 import * as z from "zod";
 import { BLOCK_TOKENS } from "../../core/mod.ts";
 
-/** Characters taken for one token; engines report the true number later. */
+/** Estimate of the characters per token. */
 export const CHARACTERS_PER_TOKEN = 4;
 
-/** A prompt as the core needs it. */
-export type Measure = {
+/** Size and block hashes of a prompt. */
+export type PromptMeasure = {
   readonly promptTokens: number;
-  /** One hash a whole block; each covers all text before its end. */
+  /** A hash for each full block, which covers all text up to its end. */
   readonly prefixes: readonly number[];
 };
 
-/** Measures a prompt's text. */
-export function measurePrompt(text: string): Measure {
+export function measurePrompt(text: string): PromptMeasure {
   const blockLength = BLOCK_TOKENS * CHARACTERS_PER_TOKEN;
   const prefixes: number[] = [];
   let seed = 0;
@@ -27,15 +26,15 @@
 }
 
 const Part = z.looseObject({ type: z.string(), text: z.string().optional() });
-/** One message of a chat. */
+/** A message of a chat. */
 export const ChatMessage = z.looseObject({
   role: z.string(),
   content: z.union([z.string(), z.array(Part)]).nullish(),
 });
-/** One message of a chat. */
+/** A message of a chat. */
 export type ChatMessage = z.infer<typeof ChatMessage>;
 
-/** The text that a completion's or a chat's prompt comes to. */
+/** Returns the prompt of a completion, or a chat's messages as one text. */
 export function promptText(
   body: {
     readonly prompt?: string | undefined;
--- a/src/shell/callers/read_body.ts
+++ b/src/shell/callers/read_body.ts
@@ -1,7 +1,7 @@
-/** Reads a request's body up to a limit. */
+/** Reads request bodies of limited size. */
 import type { IncomingMessage } from "node:http";
 
-/** The body, or why there is none. */
+/** A complete body, or the reason why it could not be read. */
 export type Body =
   | { readonly type: "whole"; readonly text: string }
   | { readonly type: "tooLarge" }
--- a/src/shell/callers/server.ts
+++ b/src/shell/callers/server.ts
@@ -1,4 +1,4 @@
-/** The callers' side: an HTTP server in OpenAI's shape. */
+/** HTTP server for callers, compatible with the OpenAI API. */
 import {
   createServer,
   type IncomingMessage,
@@ -18,8 +18,8 @@
   endStream,
   type OpenCall,
   sendChunk,
+  sendCompletion,
   sendError,
-  sendWhole,
 } from "./answers.ts";
 import {
   apiKey,
@@ -29,87 +29,90 @@
 } from "./parse.ts";
 import { readBody } from "./read_body.ts";
 
-/** What the callers' side needs from the rest of the host. */
-export type CallersSource = {
+/** Options of {@link createCallers}. */
+export type CallersOptions = {
   push(event: Event): void;
   newRequestId(): RequestId;
+  /** Maximum size of a request body in bytes. */
   readonly bodyLimit: number;
+  /** Unsent bytes of a stream above which its connection is closed. */
   readonly unsentLimit: number;
-  /** Models that a key may use; undefined for an unknown key. */
+  /** Returns the models that a key may use, undefined for an unknown key. */
   models(key: string): readonly string[] | undefined;
-  /** Why the host should get no callers; undefined when it is ready. */
+  /** Returns why the host is not ready, undefined when it is. */
   notReady(): string | undefined;
   metrics(): string;
 };
 
-/** The callers' side of a host. */
+/** A host's server for callers. */
 export type Callers = {
   readonly server: Server;
-  /** Carries out a reply. */
   reply(order: Reply): void;
-  /** Callers whose answers are not finished. */
-  open(): number;
+  /** Returns the number of calls whose responses are not finished. */
+  openCount(): number;
 };
 
-/** Orders that concern callers. */
+/** Orders that reply to callers. */
 export type Reply = Extract<Order, {
   type: "replyChunk" | "replyEnd" | "replyPlain" | "replyError";
 }>;
 
 const PLAIN_PREFIX = "/plain/";
 
-/** Makes the callers' server; it does not listen yet. */
-export function createCallers(source: CallersSource): Callers {
+/** Creates the server without listening. */
+export function createCallers(options: CallersOptions): Callers {
   const calls = new Map<RequestId, OpenCall>();
   const server = createServer((request, response) => {
-    void serve(source, calls, request, response);
+    void serve(options, calls, request, response);
   });
   return {
     server,
-    reply: (order) => reply(source, calls, order),
-    open: () => calls.size,
+    reply: (order) => reply(options, calls, order),
+    openCount: () => calls.size,
   };
 }
 
 async function serve(
-  source: CallersSource,
+  options: CallersOptions,
   calls: Map<RequestId, OpenCall>,
   request: IncomingMessage,
   response: ServerResponse,
 ): Promise<void> {
   const url = request.url ?? "/";
-  if (request.method === "GET") return serveGet(source, url, request, response);
-  const body = await readBody(request, source.bodyLimit);
+  if (request.method === "GET") {
+    return serveGet(options, url, request, response);
+  }
+  const body = await readBody(request, options.bodyLimit);
   if (body.type === "gone") return;
   if (body.type === "tooLarge") {
     response.on("finish", () => request.destroy());
     return refuse(response, ErrorKind.bodyTooLarge);
   }
-  const id = source.newRequestId();
+  const id = options.newRequestId();
   const text = body.text;
-  const made = parse(url, { id, headers: request.headers, body: text });
-  if (!made) return refuse(response, ErrorKind.notFound);
-  if (made.err) return refuse(response, ErrorKind.badRequest, made.val);
-  openCall(source, calls, made.val, response);
+  const parsed = parse(url, { id, headers: request.headers, body: text });
+  if (!parsed) return refuse(response, ErrorKind.notFound);
+  if (parsed.err) return refuse(response, ErrorKind.badRequest, parsed.val);
+  openCall(options, calls, parsed.val, response);
 }
 
 function parse(
   url: string,
-  source: Parameters<typeof parseCompletion>[1],
+  options: Parameters<typeof parseCompletion>[1],
 ): Result<CallerRequest, string> | undefined {
   if (url === CompletionPath.chat || url === CompletionPath.completions) {
-    return parseCompletion(url, source);
+    return parseCompletion(url, options);
   }
   if (!url.startsWith(PLAIN_PREFIX)) return undefined;
   const rest = url.slice(PLAIN_PREFIX.length);
   const slash = rest.indexOf("/");
   const service = slash < 0 ? rest : rest.slice(0, slash);
   const path = slash < 0 ? "/" : rest.slice(slash);
-  return parsePlain(service, path, source);
+  return parsePlain(service, path, options);
 }
 
 function openCall(
-  source: CallersSource,
+  options: CallersOptions,
   calls: Map<RequestId, OpenCall>,
   call: CallerRequest,
   response: ServerResponse,
@@ -120,9 +123,9 @@
   response.on("close", () => {
     calls.delete(request);
     if (response.writableFinished) return;
-    source.push({ type: "callerGone", request });
+    options.push({ type: "callerGone", request });
   });
-  source.push(call);
+  options.push(call);
 }
 
 function refuse(
@@ -138,7 +141,7 @@
 }
 
 function serveGet(
-  source: CallersSource,
+  options: CallersOptions,
   url: string,
   request: IncomingMessage,
   response: ServerResponse,
@@ -147,14 +150,14 @@
     case "/healthz":
       return sendText(response, 200, "ok\n");
     case "/readyz": {
-      const reason = source.notReady();
+      const reason = options.notReady();
       if (reason === undefined) return sendText(response, 200, "ready\n");
       return sendText(response, 503, `${reason}\n`);
     }
     case "/metrics":
-      return sendText(response, 200, source.metrics());
+      return sendText(response, 200, options.metrics());
     case "/v1/models":
-      return sendModels(source, request, response);
+      return sendModels(options, request, response);
     default:
       return refuse(response, ErrorKind.notFound);
   }
@@ -170,11 +173,11 @@
 }
 
 function sendModels(
-  source: CallersSource,
+  options: CallersOptions,
   request: IncomingMessage,
   response: ServerResponse,
 ): void {
-  const models = source.models(apiKey(request.headers));
+  const models = options.models(apiKey(request.headers));
   if (!models) return refuse(response, ErrorKind.unknownKey);
   const data = models.map((id) => ({
     id,
@@ -187,7 +190,7 @@
 }
 
 function reply(
-  source: CallersSource,
+  options: CallersOptions,
   calls: Map<RequestId, OpenCall>,
   order: Reply,
 ): void {
@@ -195,9 +198,9 @@
   if (!open) return;
   switch (order.type) {
     case "replyChunk":
-      return passChunk(source, open, order.text);
+      return forwardChunk(options, open, order.text);
     case "replyEnd":
-      return passEnd(open, order.finish, order.tokens);
+      return forwardEnd(open, order.finish, order.tokens);
     case "replyPlain":
       open.response.writeHead(order.status, {
         "content-type": "application/json",
@@ -210,24 +213,24 @@
   }
 }
 
-/** Texts of whole answers that wait for their ends. */
-const wholeTexts = new WeakMap<OpenCall, string>();
+/** Texts of responses that are not streamed, sent when they end. */
+const completeTexts = new WeakMap<OpenCall, string>();
 
-function passChunk(
-  source: CallersSource,
+function forwardChunk(
+  options: CallersOptions,
   open: OpenCall,
   text: string,
 ): void {
   if (!open.call.stream) {
-    wholeTexts.set(open, text);
+    completeTexts.set(open, text);
     return;
   }
   sendChunk(open, text);
-  const slow = open.response.writableLength > source.unsentLimit;
-  if (slow) open.response.destroy();
+  const tooSlow = open.response.writableLength > options.unsentLimit;
+  if (tooSlow) open.response.destroy();
 }
 
-function passEnd(open: OpenCall, finish: string, tokens: number): void {
+function forwardEnd(open: OpenCall, finish: string, tokens: number): void {
   if (open.call.stream) return endStream(open, finish);
-  sendWhole(open, { text: wholeTexts.get(open) ?? "", finish, tokens });
+  sendCompletion(open, { text: completeTexts.get(open) ?? "", finish, tokens });
 }
--- a/src/shell/clock.ts
+++ b/src/shell/clock.ts
@@ -1,11 +1,11 @@
-/** The only place that reads clocks for the core. */
+/** Reads the clock on behalf of the core. */
 
-/** Monotonic time in milliseconds. */
+/** Returns the monotonic time in milliseconds. */
 export function monotonicNow(): number {
   return performance.now();
 }
 
-/** A number that rises with each start of a process on a host. */
+/** Returns a number that increases with each start of a host's process. */
 export function newIncarnation(): number {
   return Date.now();
 }
--- a/src/shell/control/answer.ts
+++ b/src/shell/control/answer.ts
@@ -1,4 +1,4 @@
-/** Answers operators' calls. */
+/** Handles operators' calls. */
 import type { AttemptId, TableChange, World } from "../../core/mod.ts";
 import type {
   ControlReply,
@@ -13,57 +13,57 @@
 import type { PlatformClient } from "../platform/client.ts";
 import { statusOf } from "./status.ts";
 
-/** What operators' calls are answered from. */
-export type ControlSource = {
+/** Options of {@link answerControl}. */
+export type ControlOptions = {
   readonly world: World;
   readonly platform: PlatformClient;
   readonly burn: BurnTable;
   readonly explanations: Explanations;
-  /** Hashes of the operator keys; none: every call is served. */
+  /** Hashes of the operator keys; when empty, calls need no key. */
   readonly keyHashes: readonly string[];
   readonly now: () => number;
   readonly wallNow: () => number;
-  /** A publish was passed on and accepted. */
+  /** Called when the platform has accepted a write. */
   onPublished(): void;
-  /** What an upstream holds; rejects when it can't be reached. */
+  /** Lists an upstream's attempts; rejects when it is unreachable. */
   held(upstream: string): Promise<readonly AttemptId[]>;
 };
 
 type Kind = NonNullable<ControlReply["kind"]>;
 
-/** Answers one call. */
+/** Checks the operator key of a call and handles it. */
 export async function answerControl(
-  source: ControlSource,
+  options: ControlOptions,
   request: ControlRequest,
 ): Promise<ControlReply> {
-  const open = source.keyHashes.length === 0;
-  if (!open && !source.keyHashes.includes(request.keyHash)) {
+  const needsNoKey = options.keyHashes.length === 0;
+  if (!needsNoKey && !options.keyHashes.includes(request.keyHash)) {
     return { kind: { $case: "error", value: "The operator key is not known" } };
   }
-  return { kind: await answer(source, request) };
+  return { kind: await handleCall(options, request) };
 }
 
-async function answer(
-  source: ControlSource,
+async function handleCall(
+  options: ControlOptions,
   request: ControlRequest,
 ): Promise<Kind> {
   const { kind } = request;
-  const { world } = source;
+  const { world } = options;
   switch (kind?.$case) {
     case "status":
-      return { $case: "status", value: statusOf(world, source.now()) };
+      return { $case: "status", value: statusOf(world, options.now()) };
     case "explain": {
-      const lines = [...source.explanations.of(kind.value.request)];
+      const lines = [...options.explanations.of(kind.value.request)];
       return { $case: "explanation", value: { lines } };
     }
     case "rows":
       return { $case: "rows", value: rowsOf(world, kind.value.prefix) };
     case "write":
-      return { $case: "written", value: await write(source, kind.value) };
+      return { $case: "written", value: await write(options, kind.value) };
     case "held":
-      return { $case: "held", value: await heldOf(source, kind.value) };
+      return { $case: "held", value: await heldOf(options, kind.value) };
     case "burn": {
-      const windows = source.burn.windows(source.wallNow());
+      const windows = options.burn.windows(options.wallNow());
       return { $case: "burn", value: { windows } };
     }
     case undefined:
@@ -79,22 +79,24 @@
 }
 
 async function write(
-  source: ControlSource,
-  ask: WriteAsk,
+  options: ControlOptions,
+  request: WriteAsk,
 ): Promise<WriteAnswer> {
-  const changes = ask.changes.map((one): TableChange => ({
-    key: one.key,
-    ...(one.value === undefined ? {} : { value: one.value || null }),
-    ...(one.ifRevision === undefined ? {} : { ifRevision: one.ifRevision }),
+  const changes = request.changes.map((change): TableChange => ({
+    key: change.key,
+    ...(change.value === undefined ? {} : { value: change.value || null }),
+    ...(change.ifRevision === undefined
+      ? {}
+      : { ifRevision: change.ifRevision }),
   }));
   try {
-    const outcome = await source.platform.writeRows(changes);
+    const outcome = await options.platform.writeRows(changes);
     if (outcome.type === "conflict") {
       const conflicts = [...outcome.keys];
       return { outcome: "conflict", revision: 0, conflicts };
     }
     const { revision } = outcome;
-    source.onPublished();
+    options.onPublished();
     return { outcome: "written", revision, conflicts: [] };
   } catch {
     return { outcome: "lost", revision: 0, conflicts: [] };
@@ -102,11 +104,11 @@
 }
 
 async function heldOf(
-  source: ControlSource,
-  ask: { readonly upstream: string },
+  options: ControlOptions,
+  request: { readonly upstream: string },
 ): Promise<Held> {
   try {
-    const attempts = [...await source.held(ask.upstream)];
+    const attempts = [...await options.held(request.upstream)];
     return { reached: true, attempts };
   } catch {
     return { reached: false, attempts: [] };
--- a/src/shell/control/status.ts
+++ b/src/shell/control/status.ts
@@ -1,4 +1,4 @@
-/** What an entry host says of itself and of what it sees. */
+/** Reports the status of an entry host and of its view of the fleet. */
 import { Role, type World } from "../../core/mod.ts";
 import { accepting, isLive, plannerOf } from "../../core/mod.ts";
 import type {
@@ -7,7 +7,6 @@
   UpstreamStatus,
 } from "../../messages/control.ts";
 
-/** The status of a host. */
 export function statusOf(world: World, now: number): Status {
   const { self, settings, list } = world;
   return {
--- a/src/shell/host.ts
+++ b/src/shell/host.ts
@@ -1,4 +1,4 @@
-/** An entry host: the core's loop between callers, upstreams and peers. */
+/** An entry host: connects the core to callers, upstreams and peers. */
 import { readFileSync } from "node:fs";
 import type { Server } from "node:http";
 import {
@@ -35,14 +35,17 @@
 
 /** A running entry host. */
 export type RunningHost = {
-  /** Where callers and peers reach it, ports filled in. */
+  /** Address for callers, with the bound port. */
   readonly callers: string;
+  /** Address for peers, with the bound port. */
   readonly peers: string;
-  /** Takes no new work, finishes what it has, then resolves. */
+  /**
+   * Rejects new requests and resolves when the open ones have ended or the stop
+   * timeout has passed.
+   */
   stop(): Promise<void>;
 };
 
-/** Starts an entry host. */
 export async function startHost(
   settings: RouterSettings,
   log: Log,
@@ -64,7 +67,7 @@
   readonly #secret: string;
   #loop: Loop | undefined;
   #requests = 0;
-  #onStopped: () => void = () => undefined;
+  #resolveStopped: () => void = () => undefined;
 
   constructor(settings: RouterSettings, log: Log) {
     this.#settings = settings;
@@ -101,7 +104,10 @@
       models: (key) => this.#modelsOf(key),
       notReady: () => this.#notReady(),
       metrics: () =>
-        metricsPage({ world: this.#world, openCalls: this.#callers.open() }),
+        metricsPage({
+          world: this.#world,
+          openCalls: this.#callers.openCount(),
+        }),
     });
   }
 
@@ -114,19 +120,19 @@
     }
     const peerServer = createPeerServer({
       push: (event) => this.#loop?.push(event),
-      control: (request) => answerControl(this.#controlSource(), request),
+      control: (request) => answerControl(this.#controlOptions(), request),
       secret: this.#secret,
     });
-    const open = ServerCredentials.createInsecure();
-    const peerPort = await bindServer(peerServer, listen.peers, open);
+    const insecure = ServerCredentials.createInsecure();
+    const peerPort = await bindServer(peerServer, listen.peers, insecure);
     const callerPort = await listenOn(this.#callers.server, listen.callers);
-    const place = {
+    const addresses = {
       callers: withPort(listen.callers, callerPort),
       peers: withPort(listen.peers, peerPort),
     };
-    this.#log.info("host", "The host serves callers", place);
+    this.#log.info("host", "listening for callers and peers", addresses);
     return {
-      ...place,
+      ...addresses,
       stop: async () => {
         await this.#stop();
         peerServer.forceShutdown();
@@ -135,9 +141,9 @@
   }
 
   async #stop(): Promise<void> {
-    this.#log.info("host", "The host stops: it finishes what it has");
+    this.#log.info("host", "stopping; waiting for open requests to finish");
     const stopped = new Promise<void>((resolve) => {
-      this.#onStopped = resolve;
+      this.#resolveStopped = resolve;
       setTimeout(resolve, this.#settings.limits.stop_timeout).unref();
     });
     this.#loop?.push({ type: "stopAsked" });
@@ -146,7 +152,7 @@
     this.#callers.server.closeIdleConnections();
     this.#loop?.stop();
     this.#peers.close();
-    this.#log.info("host", "The host has stopped");
+    this.#log.info("host", "stopped");
   }
 
   #newRequestId(): string {
@@ -168,7 +174,7 @@
     return undefined;
   }
 
-  #controlSource() {
+  #controlOptions() {
     return {
       world: this.#world,
       platform: this.#platform,
@@ -178,24 +184,26 @@
       now: monotonicNow,
       wallNow: () => Date.now(),
       onPublished: () => this.#loop?.push({ type: "settingsPublished" }),
-      held: (upstream: string) => this.#held(upstream),
+      held: (upstream: string) => this.#readHeld(upstream),
     };
   }
 
-  async #held(upstream: string): Promise<readonly AttemptId[]> {
+  async #readHeld(upstream: string): Promise<readonly AttemptId[]> {
     const address = this.#world.upstreams.get(upstream)?.address;
-    if (!address) throw new Error(`No upstream named ${upstream}`);
+    if (!address) {
+      throw new Error(`upstream ${upstream} not found or without an address`);
+    }
     const { connect_timeout } = this.#settings.limits;
     return await readHeld(address, connect_timeout);
   }
 
   #carryOut(orders: readonly Order[]): void {
-    const tells: Extract<Order, { type: "tell" }>[] = [];
+    const messages: Extract<Order, { type: "tell" }>[] = [];
     for (const order of orders) {
-      if (order.type === "tell") tells.push(order);
+      if (order.type === "tell") messages.push(order);
       else this.#carryOutOne(order);
     }
-    if (tells.length > 0) this.#peers.send(tells);
+    if (messages.length > 0) this.#peers.send(messages);
   }
 
   #carryOutOne(order: Exclude<Order, { type: "tell" }>): void {
@@ -222,7 +230,7 @@
         return this.#log.info(order.part, order.sentence, fields);
       }
       case "stopped":
-        return this.#onStopped();
+        return this.#resolveStopped();
       default:
         return this.#upstreams.carryOut(order);
     }
@@ -246,7 +254,7 @@
   };
 }
 
-/** Hosts that the settings file names, known before any list is read. */
+/** Returns the settings file's peers, used until a host list is read. */
 function seedList(settings: RouterSettings): HostList {
   const entries = settings.peers.map((peer) => ({
     ...peer,
@@ -268,10 +276,10 @@
 }
 
 function listenOn(server: Server, address: string): Promise<number> {
-  const place = parseAddress(address);
+  const listenAddress = parseAddress(address);
   return new Promise((resolve, reject) => {
     server.once("error", reject);
-    server.listen(place?.port, place?.host, () => {
+    server.listen(listenAddress?.port, listenAddress?.host, () => {
       const bound = server.address();
       resolve(typeof bound === "object" && bound ? bound.port : 0);
     });
--- a/src/shell/log.ts
+++ b/src/shell/log.ts
@@ -1,14 +1,14 @@
-/** The program's log: bunyan, one short sentence, a prefix per part. */
+/** Structured log of a program, written with bunyan. */
 import bunyan from "bunyan";
 
-/** A log that prefixes each sentence with the part it comes from. */
+/** A log that prefixes each message with the part that it comes from. */
 export type Log = {
-  info(part: string, sentence: string, fields?: object): void;
-  warn(part: string, sentence: string, fields?: object): void;
-  error(part: string, sentence: string, fields?: object): void;
+  info(part: string, message: string, fields?: object): void;
+  warn(part: string, message: string, fields?: object): void;
+  error(part: string, message: string, fields?: object): void;
 };
 
-/** Opens a program's log on standard error. */
+/** Opens a log that writes to standard error. */
 export function openLog(
   program: string,
   level: bunyan.LogLevelString,
@@ -19,11 +19,11 @@
     stream: process.stderr,
   });
   return {
-    info: (part, sentence, fields) =>
-      logger.info(fields ?? {}, `${part}: ${sentence}`),
-    warn: (part, sentence, fields) =>
-      logger.warn(fields ?? {}, `${part}: ${sentence}`),
-    error: (part, sentence, fields) =>
-      logger.error(fields ?? {}, `${part}: ${sentence}`),
+    info: (part, message, fields) =>
+      logger.info(fields ?? {}, `${part}: ${message}`),
+    warn: (part, message, fields) =>
+      logger.warn(fields ?? {}, `${part}: ${message}`),
+    error: (part, message, fields) =>
+      logger.error(fields ?? {}, `${part}: ${message}`),
   };
 }
--- a/src/shell/loop.ts
+++ b/src/shell/loop.ts
@@ -1,34 +1,33 @@
-/** The one loop: events in, a step of the core, orders out. */
+/** Event loop that steps the core and carries out its orders. */
 import { type Event, type Order, step, type World } from "../core/mod.ts";
 import { monotonicNow } from "./clock.ts";
 
-/** Time between two ticks of the core. */
+/** Interval between ticks of the core. */
 const TICK_MS = 20;
 
-/** A running loop. */
 export type Loop = {
-  /** Gives the core an event. */
+  /** Queues an event for the core's next step. */
   push(event: Event): void;
   stop(): void;
 };
 
-/** Starts the loop of a world. */
+/** Starts the loop; events that arrive together are handled in one step. */
 export function startLoop(
   world: World,
   carryOut: (orders: readonly Order[]) => void,
 ): Loop {
   let events: Event[] = [];
-  let planned = false;
+  let scheduled = false;
   const run = (): void => {
-    planned = false;
+    scheduled = false;
     const batch = events;
     events = [];
     carryOut(step(world, batch, monotonicNow()));
   };
   const push = (event: Event): void => {
     events.push(event);
-    if (planned) return;
-    planned = true;
+    if (scheduled) return;
+    scheduled = true;
     setImmediate(run);
   };
   const timer = setInterval(() => push({ type: "tick" }), TICK_MS);
--- a/src/shell/measures/burn_table.ts
+++ b/src/shell/measures/burn_table.ts
@@ -1,17 +1,22 @@
-/** Counts of good requests per customer and service, for the burn report. */
+/** Counts good requests per customer and service for the burn rate report. */
 import hdr, { type Histogram } from "hdr-histogram-js";
 import type { Observation } from "../../core/mod.ts";
 import type { BurnWindow } from "../../messages/control.ts";
 
-/** Length of one bucket, and of the longest window, in milliseconds. */
+/** Duration of a bucket. */
 const BUCKET_MS = 60_000;
-const LONGEST_MS = 6 * 3_600_000;
-/** The windows that a report shows. */
-export const WINDOWS_MS: readonly number[] = [300_000, 3_600_000, LONGEST_MS];
-/** Rows kept; the one unused for longest goes first. */
+/** Duration of the longest window. */
+const MAX_WINDOW_MS = 6 * 3_600_000;
+/** Durations of the windows in a report. */
+export const WINDOWS_MS: readonly number[] = [
+  300_000,
+  3_600_000,
+  MAX_WINDOW_MS,
+];
+/** Maximum number of rows; the least recently used row is evicted first. */
 const ROW_LIMIT = 2000;
-/** Histograms count microseconds. */
-const MICROS = 1000;
+/** Histograms record microseconds. */
+const MICROSECONDS_PER_MS = 1000;
 
 type Bucket = { readonly start: number; requests: number; good: number };
 
@@ -23,11 +28,11 @@
   readonly betweenTokens: Histogram;
 };
 
-/** Counts observations and gives windows over them. */
+/** Counts observations and sums them over sliding windows. */
 export class BurnTable {
   readonly #rows = new Map<string, Row>();
 
-  /** Counts one finished request. */
+  /** Counts a finished request. */
   note(observation: Observation, now: number): void {
     const row = this.#rowOf(observation);
     const bucket = bucketAt(row, now);
@@ -58,10 +63,10 @@
     return row;
   }
 
-  /** All rows in all windows. */
+  /** Returns each row's counts in each window. */
   windows(now: number): BurnWindow[] {
     return [...this.#rows.values()].flatMap((row) =>
-      WINDOWS_MS.map((span) => windowOf(row, span, now))
+      WINDOWS_MS.map((windowMs) => windowOf(row, windowMs, now))
     );
   }
 }
@@ -70,24 +75,26 @@
   const start = Math.floor(now / BUCKET_MS) * BUCKET_MS;
   const newest = row.buckets.at(-1);
   if (newest?.start === start) return newest;
-  const bucket = { start, requests: 0, good: 0 };
-  row.buckets = row.buckets.filter((one) => start - one.start < LONGEST_MS);
-  row.buckets.push(bucket);
-  return bucket;
+  const added = { start, requests: 0, good: 0 };
+  row.buckets = row.buckets.filter((bucket) =>
+    start - bucket.start < MAX_WINDOW_MS
+  );
+  row.buckets.push(added);
+  return added;
 }
 
-function windowOf(row: Row, span: number, now: number): BurnWindow {
+function windowOf(row: Row, windowMs: number, now: number): BurnWindow {
   let requests = 0;
   let good = 0;
   for (const bucket of row.buckets) {
-    if (now - bucket.start >= span) continue;
+    if (now - bucket.start >= windowMs) continue;
     requests += bucket.requests;
     good += bucket.good;
   }
   return {
     customer: row.customer,
     service: row.service,
-    windowMs: span,
+    windowMs,
     requests,
     good,
     firstToken: hdr.encodeIntoCompressedBase64(row.firstToken),
@@ -104,5 +111,5 @@
 }
 
 function record(histogram: Histogram, ms: number): void {
-  histogram.recordValue(Math.max(0, Math.round(ms * MICROS)));
+  histogram.recordValue(Math.max(0, Math.round(ms * MICROSECONDS_PER_MS)));
 }
--- a/src/shell/measures/explanations.ts
+++ b/src/shell/measures/explanations.ts
@@ -1,17 +1,17 @@
-/** Keeps the latest log lines of each request, for `otterhillctl explain`. */
+/** Stores log lines per request for `otterhillctl explain`. */
 import type { LogLine } from "../../core/mod.ts";
 import type { ExplainLine } from "../../messages/control.ts";
 
-/** Requests remembered. */
+/** Maximum number of requests; the oldest one is evicted first. */
 const REQUEST_LIMIT = 2000;
-/** Lines remembered of one request. */
+/** Maximum number of lines per request. */
 const LINE_LIMIT = 40;
 
-/** The latest requests' log lines. */
+/** Log lines of the latest requests. */
 export class Explanations {
   readonly #lines = new Map<string, ExplainLine[]>();
 
-  /** Remembers a line. */
+  /** Stores a line. */
   note(line: LogLine, now: number): void {
     if (line.request === undefined) return;
     const known = this.#lines.get(line.request) ?? [];
@@ -28,7 +28,7 @@
     if (full && oldest !== undefined) this.#lines.delete(oldest);
   }
 
-  /** The lines of one request; none when it is not remembered. */
+  /** Returns a request's lines, none when it is unknown or evicted. */
   of(request: string): readonly ExplainLine[] {
     return this.#lines.get(request) ?? [];
   }
--- a/src/shell/measures/exposition.ts
+++ b/src/shell/measures/exposition.ts
@@ -1,14 +1,14 @@
-/** Metrics in the usual text exposition format. */
+/** Metrics in the Prometheus text exposition format. */
 import type { World } from "../../core/mod.ts";
 
-/** What the metrics page is made from. */
-export type MetricsSource = {
+/** Options of {@link metricsPage}. */
+export type MetricsOptions = {
   readonly world: World;
   readonly openCalls: number;
 };
 
-/** The metrics page. */
-export function metricsPage({ world, openCalls }: MetricsSource): string {
+/** Returns the content of the metrics page. */
+export function metricsPage({ world, openCalls }: MetricsOptions): string {
   const lines: string[] = [];
   for (const [name, value] of world.counters) {
     lines.push(`# TYPE otterhill_${name}_total counter`);
--- a/src/shell/mod.ts
+++ b/src/shell/mod.ts
@@ -1,4 +1,4 @@
-/** The shell: turns the world into events and orders into I/O. */
+/** The shell: performs the core's I/O and reports results as events. */
 export { type RunningHost, startHost } from "./host.ts";
 export { type Log, openLog } from "./log.ts";
 export { measurePrompt } from "./callers/prompt.ts";
--- a/src/shell/peers/client.ts
+++ b/src/shell/peers/client.ts
@@ -1,11 +1,11 @@
-/** Sends messages to peers, all of one step to one peer in one envelope. */
+/** Sends messages to peers, batched per peer and step of the core. */
 import { type ChannelCredentials, Client, Metadata } from "@grpc/grpc-js";
 import type { Event, HostId, PeerMessage } from "../../core/mod.ts";
 import { deliverMethod } from "./service.ts";
 import { SECRET_HEADER } from "./server.ts";
 
-/** What the peers' side needs from the rest of the host. */
-export type PeersSource = {
+/** Options of {@link Peers}. */
+export type PeersOptions = {
   readonly self: { readonly id: HostId; readonly incarnation: number };
   push(event: Event): void;
   addressOf(host: HostId): string | undefined;
@@ -14,34 +14,34 @@
   readonly secret: string;
 };
 
-type Line = { readonly address: string; readonly client: Client };
+type PeerConnection = { readonly address: string; readonly client: Client };
 
-/** The sending half of the peers' side. */
+/** gRPC clients of a host's peers. */
 export class Peers {
-  readonly #source: PeersSource;
-  readonly #lines = new Map<HostId, Line>();
+  readonly #options: PeersOptions;
+  readonly #connections = new Map<HostId, PeerConnection>();
 
-  constructor(source: PeersSource) {
-    this.#source = source;
+  constructor(options: PeersOptions) {
+    this.#options = options;
   }
 
   /** Sends a step's messages, grouped by peer. */
   send(
-    tells: readonly { readonly to: HostId; readonly message: PeerMessage }[],
+    messages: readonly { readonly to: HostId; readonly message: PeerMessage }[],
   ): void {
     const byPeer = new Map<HostId, PeerMessage[]>();
-    for (const { to, message } of tells) {
-      const messages = byPeer.get(to) ?? [];
-      messages.push(message);
-      byPeer.set(to, messages);
+    for (const { to, message } of messages) {
+      const batch = byPeer.get(to) ?? [];
+      batch.push(message);
+      byPeer.set(to, batch);
     }
-    for (const [peer, messages] of byPeer) this.#deliver(peer, messages);
+    for (const [peer, batch] of byPeer) this.#deliver(peer, batch);
   }
 
   #deliver(peer: HostId, messages: PeerMessage[]): void {
     const client = this.#clientOf(peer);
-    if (!client) return this.#source.push({ type: "peerFailed", peer });
-    const { self, timeoutMs, secret } = this.#source;
+    if (!client) return this.#options.push({ type: "peerFailed", peer });
+    const { self, timeoutMs, secret } = this.#options;
     const { id: from, incarnation } = self;
     const metadata = new Metadata();
     metadata.set(SECRET_HEADER, secret);
@@ -54,31 +54,35 @@
       metadata,
       { deadline: Date.now() + timeoutMs },
       (error) => {
-        if (error) this.#source.push({ type: "peerFailed", peer });
+        if (error) this.#options.push({ type: "peerFailed", peer });
       },
     );
   }
 
   #clientOf(peer: HostId): Client | undefined {
-    const address = this.#source.addressOf(peer);
-    const known = this.#lines.get(peer);
+    const address = this.#options.addressOf(peer);
+    const known = this.#connections.get(peer);
     if (known && known.address === address) return known.client;
     known?.client.close();
-    this.#lines.delete(peer);
+    this.#connections.delete(peer);
     if (!address) return undefined;
-    const client = new Client(address, this.#source.credentials, RECONNECT);
-    this.#lines.set(peer, { address, client });
+    const client = new Client(
+      address,
+      this.#options.credentials,
+      RECONNECT_OPTIONS,
+    );
+    this.#connections.set(peer, { address, client });
     return client;
   }
 
-  /** Closes all lines. */
+  /** Closes all connections. */
   close(): void {
-    for (const { client } of this.#lines.values()) client.close();
+    for (const { client } of this.#connections.values()) client.close();
   }
 }
 
-/** A peer that was away is found again within a second. */
-const RECONNECT = {
+/** Limits the reconnect backoff to one second. */
+const RECONNECT_OPTIONS = {
   "grpc.initial_reconnect_backoff_ms": 100,
   "grpc.max_reconnect_backoff_ms": 1000,
 };
--- a/src/shell/peers/control_client.ts
+++ b/src/shell/peers/control_client.ts
@@ -1,14 +1,14 @@
-/** Operators' programs call an entry host. */
+/** Client of an entry host for operators' programs. */
 import { Client, credentials } from "@grpc/grpc-js";
 import type { ControlReply, ControlRequest } from "../../messages/control.ts";
 import { controlMethod } from "./service.ts";
 
-/** The inside of a call and of its answer. */
-export type ControlAsk = NonNullable<ControlRequest["kind"]>;
-/** The inside of an answer. */
+/** Payload of a call. */
+export type ControlCall = NonNullable<ControlRequest["kind"]>;
+/** Payload of a response. */
 export type ControlAnswer = NonNullable<ControlReply["kind"]>;
 
-/** Where and how to call. */
+/** Address, key and timeout of a call. */
 export type ControlTarget = {
   /** `IP:port` of an entry host's peer listener. */
   readonly address: string;
@@ -16,10 +16,10 @@
   readonly timeoutMs: number;
 };
 
-/** Makes one call; rejects when there is no answer or an error. */
+/** Makes a call; rejects on an error or without a response. */
 export function callControl(
   target: ControlTarget,
-  kind: ControlAsk,
+  kind: ControlCall,
 ): Promise<ControlAnswer> {
   const client = new Client(target.address, credentials.createInsecure());
   const { path, requestSerialize, responseDeserialize } = controlMethod;
@@ -36,7 +36,9 @@
           return reject(new Error(`${target.address}: ${error.details}`));
         }
         const answer = reply?.kind;
-        if (!answer) return reject(new Error(`${target.address}: no answer`));
+        if (!answer) {
+          return reject(new Error(`${target.address}: empty response`));
+        }
         if (answer.$case !== "error") return resolve(answer);
         reject(new Error(`${target.address}: ${answer.value}`));
       },
--- a/src/shell/peers/server.ts
+++ b/src/shell/peers/server.ts
@@ -1,4 +1,4 @@
-/** Receives peers' messages and operators' calls. */
+/** gRPC server for peers' messages and operators' calls. */
 import {
   type sendUnaryData,
   Server,
@@ -11,29 +11,29 @@
 import type { Envelope } from "../../messages/peer.ts";
 import { peerService, type Receipt } from "./service.ts";
 
-/** The header that carries the peers' shared secret. */
+/** Header with the peers' shared secret. */
 export const SECRET_HEADER = "x-otterhill-peer";
 
-/** What the receiving half needs from the rest of the host. */
-export type PeerServerSource = {
+/** Options of {@link createPeerServer}. */
+export type PeerServerOptions = {
   push(event: Event): void;
   control(request: ControlRequest): Promise<ControlReply>;
   readonly secret: string;
 };
 
-/** Makes the server; it is not bound yet. */
-export function createPeerServer(source: PeerServerSource): Server {
+/** Creates the server without binding it. */
+export function createPeerServer(options: PeerServerOptions): Server {
   const server = new Server();
   server.addService(peerService, {
     deliver: (
       call: ServerUnaryCall<Envelope, Receipt>,
       done: sendUnaryData<Receipt>,
-    ) => deliver(source, call, done),
+    ) => deliver(options, call, done),
     control: (
       call: ServerUnaryCall<ControlRequest, ControlReply>,
       done: sendUnaryData<ControlReply>,
     ) => {
-      source.control(call.request).then(
+      options.control(call.request).then(
         (reply) => done(null, reply),
         (error: unknown) =>
           done({ code: status.INTERNAL, details: String(error) }),
@@ -44,22 +44,25 @@
 }
 
 function deliver(
-  source: PeerServerSource,
+  options: PeerServerOptions,
   call: ServerUnaryCall<Envelope, Receipt>,
   done: sendUnaryData<Receipt>,
 ): void {
-  const [given] = call.metadata.get(SECRET_HEADER);
-  if (given !== source.secret) {
-    return done({ code: status.UNAUTHENTICATED, details: "Wrong secret" });
+  const [receivedSecret] = call.metadata.get(SECRET_HEADER);
+  if (receivedSecret !== options.secret) {
+    return done({
+      code: status.UNAUTHENTICATED,
+      details: "Wrong secret",
+    });
   }
   const { from, incarnation, messages } = call.request;
   for (const message of messages) {
-    source.push({ type: "peerMessage", from, incarnation, message });
+    options.push({ type: "peerMessage", from, incarnation, message });
   }
   done(null, {});
 }
 
-/** Binds the server to an address and gives the port. */
+/** Binds the server to an address and returns the port. */
 export function bindServer(
   server: Server,
   address: string,
--- a/src/shell/peers/service.ts
+++ b/src/shell/peers/service.ts
@@ -1,15 +1,15 @@
-/** The gRPC services between otterhill's processes. */
+/** Definitions of the gRPC services. */
 import type { MethodDefinition, ServiceDefinition } from "@grpc/grpc-js";
 import { Envelope } from "../../messages/peer.ts";
 import { ControlReply, ControlRequest } from "../../messages/control.ts";
 
-/** What generated messages can do. */
+/** Encodes and decodes a generated message type. */
 type Codec<Message> = {
   encode(message: Message): { finish(): Uint8Array };
   decode(bytes: Uint8Array): Message;
 };
 
-/** The empty answer to an envelope. */
+/** Empty response to an envelope. */
 export type Receipt = Record<string, never>;
 
 const ReceiptCodec: Codec<Receipt> = {
@@ -26,25 +26,26 @@
     path,
     requestStream: false,
     responseStream: false,
-    requestSerialize: (one) => Buffer.from(request.encode(one).finish()),
+    requestSerialize: (message) =>
+      Buffer.from(request.encode(message).finish()),
     requestDeserialize: (bytes) => request.decode(bytes),
-    responseSerialize: (one) => Buffer.from(reply.encode(one).finish()),
+    responseSerialize: (message) => Buffer.from(reply.encode(message).finish()),
     responseDeserialize: (bytes) => reply.decode(bytes),
   };
 }
 
-/** Delivers messages of one core to another. */
+/** Delivers a host's messages to a peer. */
 export const deliverMethod: MethodDefinition<Envelope, Receipt> = unary(
   "/otterhill.Peer/Deliver",
   Envelope,
   ReceiptCodec,
 );
 
-/** Serves operators' programs. */
+/** Handles a call of an operator's program. */
 export const controlMethod: MethodDefinition<ControlRequest, ControlReply> =
   unary("/otterhill.Control/Call", ControlRequest, ControlReply);
 
-/** Both methods as one service. */
+/** Service with both methods. */
 export const peerService: ServiceDefinition = {
   deliver: deliverMethod,
   control: controlMethod,
--- a/src/shell/platform/client.ts
+++ b/src/shell/platform/client.ts
@@ -1,22 +1,22 @@
-/** The platform's side: its table and its host list over HTTP. */
+/** HTTP client of the platform's table and host list. */
 import PQueue from "p-queue";
 import * as z from "zod";
 import type { Event, HostList, Order, TableChange } from "../../core/mod.ts";
 import { decodeListEntry } from "../../util/list_entry.ts";
 import { callText } from "../upstreams/http.ts";
 
-/** Orders that concern the platform. */
+/** Orders that call the platform. */
 export type PlatformOrder = Extract<Order, {
   type: "readHosts" | "readTable" | "writeTable";
 }>;
 
-/** Where the platform is. */
-export type PlatformSource = {
+/** Options of {@link PlatformClient}. */
+export type PlatformOptions = {
   readonly address: string;
   readonly timeoutMs: number;
 };
 
-/** A row as the platform gives it. */
+/** A row of the platform's table. */
 export const RowAnswer = z.looseObject({
   key: z.string(),
   revision: z.number(),
@@ -47,43 +47,45 @@
   entries: z.array(Entry),
 });
 
-/** Calls at once: the platform serves 400 writes a second in all. */
-const CALLS = 4;
+/** Maximum number of concurrent calls, to limit the platform's load. */
+const MAX_CALLS = 4;
 
-/** Outcome of a write. */
 export type WriteOutcome =
   | { readonly type: "written"; readonly revision: number }
   | { readonly type: "conflict"; readonly keys: readonly string[] };
 
-/** A client of the platform; each call rejects when there is no answer. */
+/** Client of the platform; calls reject when it does not respond. */
 export class PlatformClient {
-  readonly #source: PlatformSource;
-  readonly #queue = new PQueue({ concurrency: CALLS });
+  readonly #options: PlatformOptions;
+  readonly #queue = new PQueue({ concurrency: MAX_CALLS });
 
-  constructor(source: PlatformSource) {
-    this.#source = source;
+  constructor(options: PlatformOptions) {
+    this.#options = options;
   }
 
-  /** Rows under a prefix that changed after a revision. */
+  /** Reads the rows under a prefix that changed after a revision. */
   async readRows(prefix: string, after: number) {
     const query = new URLSearchParams({ prefix, after: String(after) });
     const { text } = await this.#call("GET", `/table?${query}`);
     return RowsAnswer.parse(JSON.parse(text));
   }
 
-  /** Applies changes, all or none. */
+  /** Applies all changes, or none when a condition fails. */
   async writeRows(changes: readonly TableChange[]): Promise<WriteOutcome> {
     const body = JSON.stringify({ changes });
     const { status, text } = await this.#call("POST", "/table", body);
-    const answer: unknown = JSON.parse(text);
+    const response: unknown = JSON.parse(text);
     if (status === 409) {
-      return { type: "conflict", keys: ConflictAnswer.parse(answer).conflicts };
+      return {
+        type: "conflict",
+        keys: ConflictAnswer.parse(response).conflicts,
+      };
     }
-    const { revision } = WrittenAnswer.parse(answer);
+    const { revision } = WrittenAnswer.parse(response);
     return { type: "written", revision };
   }
 
-  /** The list of live and leaving hosts. */
+  /** Reads the host list. */
   async readHosts(): Promise<HostList> {
     const { text } = await this.#call("GET", "/hosts");
     const { revision, entries } = HostsAnswer.parse(JSON.parse(text));
@@ -94,8 +96,8 @@
   }
 
   async #call(method: "GET" | "POST", path: string, body?: string) {
-    const { address, timeoutMs } = this.#source;
-    const answer = await this.#queue.add(() =>
+    const { address, timeoutMs } = this.#options;
+    const response = await this.#queue.add(() =>
       callText({
         address,
         method,
@@ -105,28 +107,30 @@
         silenceTimeoutMs: timeoutMs,
       })
     );
-    if (!answer || (answer.status !== 200 && answer.status !== 409)) {
-      throw new Error(`The platform answered ${answer?.status} to ${path}`);
+    if (!response || (response.status !== 200 && response.status !== 409)) {
+      throw new Error(
+        `platform responded with status ${response?.status} to ${path}`,
+      );
     }
-    return answer;
+    return response;
   }
 }
 
-/** Carries out an order and tells the core how it went. */
+/** Carries out an order and reports its outcome to the core. */
 export async function carryOutPlatform(
   client: PlatformClient,
   order: PlatformOrder,
   push: (event: Event) => void,
 ): Promise<void> {
   try {
-    push(await answerTo(client, order));
+    push(await performOrder(client, order));
   } catch {
     if (order.type === "readHosts") return;
     push({ type: "tableLost", call: order.call });
   }
 }
 
-async function answerTo(
+async function performOrder(
   client: PlatformClient,
   order: PlatformOrder,
 ): Promise<Event> {
--- a/src/shell/upstreams/bodies.ts
+++ b/src/shell/upstreams/bodies.ts
@@ -1,7 +1,7 @@
-/** The bodies of calls to engines; docs/UPSTREAM.md is their description. */
+/** Bodies of calls to engines, specified in docs/UPSTREAM.md. */
 import * as z from "zod";
 
-/** What a prefill call's answer must hold. */
+/** Response to a prefill call. */
 export const PrefillAnswer = z.looseObject({
   kv_transfer_params: z.looseObject({}),
   kv_kept_ms: z.number(),
@@ -11,8 +11,8 @@
   }).optional(),
 });
 
-/** One event of an engine's stream. */
-export const StreamPiece = z.looseObject({
+/** An event of an engine's stream. */
+export const StreamEvent = z.looseObject({
   choices: z.array(z.looseObject({
     text: z.string().optional(),
     delta: z.looseObject({ content: z.string().nullish() }).optional(),
@@ -20,7 +20,7 @@
   })).min(1),
 });
 
-/** An engine's load report. */
+/** Load report of an engine. */
 export const LoadAnswer = z.looseObject({
   running: z.number(),
   slots: z.number(),
@@ -40,10 +40,10 @@
   ),
 });
 
-/** What an upstream holds. */
+/** List of an upstream's attempts. */
 export const HeldAnswer = z.looseObject({ requests: z.array(z.string()) });
 
-/** The body of a prefill call. */
+/** Returns the body of a prefill call. */
 export function prefillBody(body: string): string {
   return JSON.stringify({
     ...parsed(body),
@@ -53,7 +53,7 @@
   });
 }
 
-/** The body of a decode call; without a transfer the engine does it all. */
+/** Returns the body of a decode call, with local prefill if no `transfer`. */
 export function decodeBody(body: string, transfer?: string): string {
   const params = transfer === undefined
     ? {}
--- a/src/shell/upstreams/client.ts
+++ b/src/shell/upstreams/client.ts
@@ -1,4 +1,4 @@
-/** The upstreams' side: calls engines and plain services, tells the core. */
+/** HTTP client of upstreams; reports results to the core as events. */
 import type { IncomingMessage } from "node:http";
 import PQueue from "p-queue";
 import { monotonicNow } from "../clock.ts";
@@ -26,7 +26,7 @@
 } from "./http.ts";
 import { readStream } from "./stream.ts";
 
-/** Orders that concern upstreams. */
+/** Orders that call upstreams. */
 export type UpstreamOrder = Extract<Order, {
   type:
     | "prefill"
@@ -40,37 +40,36 @@
     | "turnRole";
 }>;
 
-/** What the upstreams' side needs from the rest of the host. */
-export type UpstreamsSource = {
+/** Options of {@link Upstreams}. */
+export type UpstreamsOptions = {
   push(event: Event): void;
   addressOf(upstream: UpstreamId): string | undefined;
   readonly callsPerUpstream: number;
   readonly connectTimeoutMs: number;
 };
 
-/** Silence after which a control call is given up, in milliseconds. */
+/** Idle timeout of control calls. */
 const CONTROL_TIMEOUT_MS = 1000;
-/** Control calls at once for one upstream. */
-const CONTROL_CALLS = 8;
-/** Silence after which a work call is given up: the core does so earlier. */
+/** Maximum number of concurrent control calls per upstream. */
+const MAX_CONTROL_CALLS = 8;
+/** Idle timeout of work calls; the core cancels attempts earlier. */
 const WORK_TIMEOUT_MS = 60_000;
-/** Upstreams say so in a refusal when they have not started. */
+/** Header of a refused call whose work the upstream has not started. */
 const NOT_STARTED_HEADER = "x-not-started";
 
 type Queues = { readonly work: PQueue; readonly control: PQueue };
 
-/** The upstreams' side of a host. */
+/** Calls a host's upstreams. */
 export class Upstreams {
-  readonly #source: UpstreamsSource;
+  readonly #options: UpstreamsOptions;
   readonly #queues = new Map<UpstreamId, Queues>();
-  /** Answers that are being read; a cancelled attempt's is closed. */
-  readonly #open = new Map<AttemptId, IncomingMessage>();
+  /** Responses being read; closed when their attempts are cancelled. */
+  readonly #openResponses = new Map<AttemptId, IncomingMessage>();
 
-  constructor(source: UpstreamsSource) {
-    this.#source = source;
+  constructor(options: UpstreamsOptions) {
+    this.#options = options;
   }
 
-  /** Carries out an order. */
   carryOut(order: UpstreamOrder): void {
     const { work, control } = this.#queuesOf(order.upstream);
     switch (order.type) {
@@ -78,19 +77,19 @@
       case "decode":
       case "resume":
       case "callPlain":
-        void work.add(() => this.#work(order));
+        void work.add(() => this.#runWork(order));
         return;
       case "cancel":
-        this.#open.get(order.attempt)?.destroy();
-        void control.add(() => this.#control(order));
+        this.#openResponses.get(order.attempt)?.destroy();
+        void control.add(() => this.#runControl(order));
         return;
       case "turnRole":
-        void control.add(() => this.#order(order));
+        void control.add(() => this.#sendOrder(order));
         return;
       case "readLoad":
       case "readCache":
       case "readHeld":
-        void control.add(() => this.#control(order));
+        void control.add(() => this.#runControl(order));
         return;
     }
   }
@@ -99,14 +98,14 @@
     const known = this.#queues.get(upstream);
     if (known) return known;
     const queues = {
-      work: new PQueue({ concurrency: this.#source.callsPerUpstream }),
-      control: new PQueue({ concurrency: CONTROL_CALLS }),
+      work: new PQueue({ concurrency: this.#options.callsPerUpstream }),
+      control: new PQueue({ concurrency: MAX_CONTROL_CALLS }),
     };
     this.#queues.set(upstream, queues);
     return queues;
   }
 
-  async #work(order: WorkOrder): Promise<void> {
+  async #runWork(order: WorkOrder): Promise<void> {
     const { attempt, upstream } = order;
     try {
       await this.#sendWork(order);
@@ -114,39 +113,39 @@
       const unsent = error instanceof HttpFailure && error.unsent;
       const resumed = order.type === "resume";
       const failure = unsent && !resumed ? Failure.notStarted : Failure.broken;
-      this.#source.push({ type: "attemptFailed", attempt, upstream, failure });
+      this.#options.push({ type: "attemptFailed", attempt, upstream, failure });
     } finally {
-      this.#open.delete(attempt);
+      this.#openResponses.delete(attempt);
     }
   }
 
   async #sendWork(order: WorkOrder): Promise<void> {
-    const answer = await openCall(this.#workCall(order));
-    this.#open.set(order.attempt, answer);
-    const status = answer.statusCode ?? 0;
+    const response = await openCall(this.#workCall(order));
+    this.#openResponses.set(order.attempt, response);
+    const status = response.statusCode ?? 0;
     if (order.type === "callPlain") {
-      const body = await readText(answer);
-      if (status === 503) return this.#refused(order, answer.headers, status);
+      const body = await readText(response);
+      if (status === 503) return this.#refused(order, response.headers, status);
       const { attempt } = order;
-      this.#source.push({ type: "plainDone", attempt, status, body });
+      this.#options.push({ type: "plainDone", attempt, status, body });
       return;
     }
     if (status !== 200) {
-      await readText(answer);
-      return this.#refused(order, answer.headers, status);
+      await readText(response);
+      return this.#refused(order, response.headers, status);
     }
     if (order.type === "prefill") {
-      return this.#prefilled(order.attempt, await readText(answer));
+      return this.#prefilled(order.attempt, await readText(response));
     }
     const after = order.type === "resume" ? order.after : 0;
-    await readStream(answer, after, (chunk) => {
-      this.#source.push({ type: "chunk", attempt: order.attempt, ...chunk });
+    await readStream(response, after, (chunk) => {
+      this.#options.push({ type: "chunk", attempt: order.attempt, ...chunk });
     });
   }
 
   #workCall(order: WorkOrder): HttpCall {
-    const { connectTimeoutMs } = this.#source;
-    const address = this.#source.addressOf(order.upstream) ?? "";
+    const { connectTimeoutMs } = this.#options;
+    const address = this.#options.addressOf(order.upstream) ?? "";
     const base = {
       address,
       connectTimeoutMs,
@@ -168,9 +167,12 @@
         const body = order.type === "prefill"
           ? prefillBody(order.body)
           : decodeBody(order.body, order.transfer);
-        const ranked = { ...headers, "x-priority": String(order.priority) };
+        const prioritized = {
+          ...headers,
+          "x-priority": String(order.priority),
+        };
         const { path } = order;
-        return { ...base, method: "POST", path, headers: ranked, body };
+        return { ...base, method: "POST", path, headers: prioritized, body };
       }
     }
   }
@@ -182,50 +184,52 @@
   ): void {
     const { attempt, upstream } = order;
     const failure = failureOf(headers, status);
-    this.#source.push({ type: "attemptFailed", attempt, upstream, failure });
+    this.#options.push({ type: "attemptFailed", attempt, upstream, failure });
   }
 
   #prefilled(attempt: AttemptId, text: string): void {
-    const answer = PrefillAnswer.parse(JSON.parse(text));
-    const details = answer.usage?.prompt_tokens_details;
-    this.#source.push({
+    const response = PrefillAnswer.parse(JSON.parse(text));
+    const details = response.usage?.prompt_tokens_details;
+    this.#options.push({
       type: "prefillDone",
       attempt,
-      transfer: JSON.stringify(answer.kv_transfer_params),
-      keptMs: answer.kv_kept_ms,
+      transfer: JSON.stringify(response.kv_transfer_params),
+      keptMs: response.kv_kept_ms,
       cachedTokens: details?.cached_tokens ?? 0,
     });
   }
 
-  /** A control call that fails is simply not answered; the core asks again. */
-  async #control(order: ControlOrder): Promise<void> {
+  /** Runs a control call; ignores failures because the core retries. */
+  async #runControl(order: ControlOrder): Promise<void> {
     try {
-      this.#source.push(await this.#ask(order));
+      this.#options.push(await this.#request(order));
     } catch {
       return;
     }
   }
 
-  /** Orders an upstream about, unless its time has passed in the queue. */
-  async #order(order: RoleOrder): Promise<void> {
+  /** Sends an order to an upstream unless it expired in the queue. */
+  async #sendOrder(order: RoleOrder): Promise<void> {
     const { upstream, role, fence } = order;
     if (monotonicNow() >= order.sendBefore) return;
     try {
       const { status } = await callText({
-        address: this.#source.addressOf(upstream) ?? "",
+        address: this.#options.addressOf(upstream) ?? "",
         method: "POST",
         path: "/v1/orders",
         body: JSON.stringify({ fence, role }),
-        connectTimeoutMs: this.#source.connectTimeoutMs,
+        connectTimeoutMs: this.#options.connectTimeoutMs,
         silenceTimeoutMs: CONTROL_TIMEOUT_MS,
       });
-      if (status === 409) this.#source.push({ type: "orderRefused", upstream });
+      if (status === 409) {
+        this.#options.push({ type: "orderRefused", upstream });
+      }
     } catch {
       return;
     }
   }
 
-  async #ask(order: ControlOrder): Promise<Event> {
+  async #request(order: ControlOrder): Promise<Event> {
     const { upstream } = order;
     switch (order.type) {
       case "cancel": {
@@ -234,18 +238,18 @@
         return { type: "cancelDone", attempt, upstream };
       }
       case "readLoad": {
-        const answer = await this.#json(upstream, "GET", "/v1/load");
-        return { type: "loadReport", upstream, report: loadOf(answer) };
+        const response = await this.#json(upstream, "GET", "/v1/load");
+        return { type: "loadReport", upstream, report: loadOf(response) };
       }
       case "readCache": {
         const path = `/v1/cache/events?after=${order.after}`;
-        const answer = await this.#json(upstream, "GET", path);
-        const { from, events } = CacheAnswer.parse(answer);
+        const response = await this.#json(upstream, "GET", path);
+        const { from, events } = CacheAnswer.parse(response);
         return { type: "cacheEvents", upstream, from, events };
       }
       case "readHeld": {
-        const answer = await this.#json(upstream, "GET", "/v1/requests");
-        const attempts = HeldAnswer.parse(answer).requests;
+        const response = await this.#json(upstream, "GET", "/v1/requests");
+        const attempts = HeldAnswer.parse(response).requests;
         return { type: "heldList", upstream, attempts };
       }
     }
@@ -257,14 +261,16 @@
     path: string,
   ): Promise<unknown> {
     const { status, text } = await callText({
-      address: this.#source.addressOf(upstream) ?? "",
+      address: this.#options.addressOf(upstream) ?? "",
       method,
       path,
       ...(method === "POST" ? { body: "" } : {}),
-      connectTimeoutMs: this.#source.connectTimeoutMs,
+      connectTimeoutMs: this.#options.connectTimeoutMs,
       silenceTimeoutMs: CONTROL_TIMEOUT_MS,
     });
-    if (status !== 200) throw new Error(`Status ${status} for ${path}`);
+    if (status !== 200) {
+      throw new Error(`upstream responded with status ${status} to ${path}`);
+    }
     return JSON.parse(text) as unknown;
   }
 }
@@ -288,8 +294,8 @@
   return status >= 400 && status < 500 ? Failure.rejected : Failure.broken;
 }
 
-function loadOf(answer: unknown) {
-  const load = LoadAnswer.parse(answer);
+function loadOf(response: unknown) {
+  const load = LoadAnswer.parse(response);
   return {
     running: load.running,
     slots: load.slots,
--- a/src/shell/upstreams/held.ts
+++ b/src/shell/upstreams/held.ts
@@ -1,9 +1,9 @@
-/** Asks one upstream what it holds, for operators. */
+/** Lists an upstream's attempts for operators. */
 import type { AttemptId } from "../../core/mod.ts";
 import { HeldAnswer } from "./bodies.ts";
 import { callText } from "./http.ts";
 
-/** What the upstream at an address holds by its own count. */
+/** Requests the list of attempts from the upstream at an address. */
 export async function readHeld(
   address: string,
   timeoutMs: number,
@@ -15,6 +15,8 @@
     connectTimeoutMs: timeoutMs,
     silenceTimeoutMs: timeoutMs * 4,
   });
-  if (status !== 200) throw new Error(`Status ${status} from ${address}`);
+  if (status !== 200) {
+    throw new Error(`status ${status} received from ${address}`);
+  }
   return HeldAnswer.parse(JSON.parse(text)).requests;
 }
--- a/src/shell/upstreams/http.ts
+++ b/src/shell/upstreams/http.ts
@@ -1,4 +1,4 @@
-/** One HTTP call with Node's client: connects, sends, reads the answer. */
+/** HTTP calls with Node's client. */
 import {
   Agent,
   type ClientRequest,
@@ -7,7 +7,7 @@
 } from "node:http";
 import { parseAddress } from "../../util/address.ts";
 
-/** A call to make. */
+/** Parameters of a call. */
 export type HttpCall = {
   /** `IP:port`. */
   readonly address: string;
@@ -16,13 +16,13 @@
   readonly headers?: Readonly<Record<string, string>>;
   readonly body?: string;
   readonly connectTimeoutMs: number;
-  /** Silence after which the call is given up. */
+  /** Idle timeout of the call. */
   readonly silenceTimeoutMs?: number;
 };
 
-/** Why a call failed. */
+/** Failure of a call. */
 export class HttpFailure extends Error {
-  /** True when no byte of the request can have left. */
+  /** Whether no byte of the request can have been sent. */
   readonly unsent: boolean;
   constructor(message: string, unsent: boolean) {
     super(message);
@@ -30,38 +30,40 @@
   }
 }
 
-/** Connections to all upstreams; kept open between calls. */
+/** Pool of keep-alive connections. */
 const agent = new Agent({ keepAlive: true, maxSockets: 1024 });
 
-/** Starts a call and gives the head of its answer. */
+/** Starts a call and resolves with the response's headers. */
 export function openCall(call: HttpCall): Promise<IncomingMessage> {
   return new Promise((resolve, reject) => {
-    const to = parseAddress(call.address);
-    if (!to) return reject(new HttpFailure("No address", true));
+    const address = parseAddress(call.address);
+    if (!address) {
+      return reject(new HttpFailure("missing or invalid address", true));
+    }
     let connected = false;
     const request = httpRequest({
-      host: to.host,
-      port: to.port,
+      host: address.host,
+      port: address.port,
       method: call.method,
       path: call.path,
       headers: headersOf(call),
       agent,
     });
-    const connecting = setTimeout(() => {
-      request.destroy(new HttpFailure("Connecting took too long", true));
+    const connectTimer = setTimeout(() => {
+      request.destroy(new HttpFailure("connect timed out", true));
     }, call.connectTimeoutMs);
     watchConnection(request, () => {
       connected = true;
-      clearTimeout(connecting);
+      clearTimeout(connectTimer);
     });
     if (call.silenceTimeoutMs !== undefined) {
       request.setTimeout(call.silenceTimeoutMs, () => {
-        request.destroy(new HttpFailure("No answer in time", false));
+        request.destroy(new HttpFailure("response timed out", false));
       });
     }
     request.on("response", resolve);
     request.on("error", (error) => {
-      clearTimeout(connecting);
+      clearTimeout(connectTimer);
       if (error instanceof HttpFailure) return reject(error);
       reject(new HttpFailure(error.message, !connected));
     });
@@ -85,19 +87,19 @@
   });
 }
 
-/** The answer's whole body. */
-export async function readText(answer: IncomingMessage): Promise<string> {
-  answer.setEncoding("utf8");
+/** Reads the complete body of a response. */
+export async function readText(response: IncomingMessage): Promise<string> {
+  response.setEncoding("utf8");
   let text = "";
-  for await (const part of answer) text += part;
+  for await (const part of response) text += part;
   return text;
 }
 
-/** Makes a call and reads its whole answer. */
+/** Makes a call and reads the complete response. */
 export async function callText(
   call: HttpCall,
 ): Promise<{ readonly status: number; readonly text: string }> {
-  const answer = await openCall(call);
-  const text = await readText(answer);
-  return { status: answer.statusCode ?? 0, text };
+  const response = await openCall(call);
+  const text = await readText(response);
+  return { status: response.statusCode ?? 0, text };
 }
--- a/src/shell/upstreams/stream.ts
+++ b/src/shell/upstreams/stream.ts
@@ -1,9 +1,9 @@
-/** Reads an engine's stream of tokens as chunks. */
+/** Reads token streams of engines. */
 import type { IncomingMessage } from "node:http";
 import { createParser } from "eventsource-parser";
-import { StreamPiece } from "./bodies.ts";
+import { StreamEvent } from "./bodies.ts";
 
-/** A piece of an engine's answer. */
+/** A chunk of a streamed response. */
 export type StreamChunk = {
   readonly index: number;
   readonly tokens: number;
@@ -12,16 +12,16 @@
   readonly finish?: string;
 };
 
-/** The stream's closing mark. */
+/** Data of the stream's last event. */
 const DONE = "[DONE]";
 
 /**
- * Reads a stream to its end. Each event's id is the number of tokens sent up
- * to its end, so that a resumed stream says where it goes on. Rejects when
- * the stream ends without its closing mark.
+ * Reads a stream to its end. The id of each event is the number of tokens
+ * sent including that event, which gives a resumed stream's position. Rejects
+ * when the stream ends without its last event.
  */
 export async function readStream(
-  answer: IncomingMessage,
+  response: IncomingMessage,
   after: number,
   onChunk: (chunk: StreamChunk) => void,
 ): Promise<void> {
@@ -33,7 +33,7 @@
         ended = true;
         return;
       }
-      const choice = StreamPiece.parse(JSON.parse(event.data)).choices[0];
+      const choice = StreamEvent.parse(JSON.parse(event.data)).choices[0];
       const upTo = event.id === undefined ? sent + 1 : Number(event.id);
       const finish = choice?.finish_reason ?? undefined;
       onChunk({
@@ -46,7 +46,7 @@
       sent = upTo;
     },
   });
-  answer.setEncoding("utf8");
-  for await (const part of answer) parser.feed(String(part));
-  if (!ended) throw new Error("The stream ended too early");
+  response.setEncoding("utf8");
+  for await (const part of response) parser.feed(String(part));
+  if (!ended) throw new Error("stream ended before [DONE]");
 }
--- a/test/shell/parse_test.ts
+++ b/test/shell/parse_test.ts
@@ -1,4 +1,4 @@
-/** Callers' requests are read, or refused with the reason. */
+/** Tests the parsing of callers' requests. */
 import { test } from "node:test";
 import assert from "node:assert/strict";
 import { measurePrompt } from "../../src/shell/mod.ts";
@@ -9,11 +9,11 @@
 
 function parse(body: unknown, headers: Record<string, string> = {}) {
   const text = typeof body === "string" ? body : JSON.stringify(body);
-  const source = { id: "h/1/1", headers, body: text };
-  return parseCompletion(CompletionPath.completions, source);
+  const options = { id: "h/1/1", headers, body: text };
+  return parseCompletion(CompletionPath.completions, options);
 }
 
-test("a completion is measured and its headers are read", () => {
+test("parses a completion, its size and its headers", () => {
   const parsed = parse(
     { model: "m", prompt: "x".repeat(4096), max_tokens: 9, stream: true },
     {
@@ -30,7 +30,7 @@
   assert.equal(parsed.patienceMs, 5000);
 });
 
-test("what is missing or not served is named", () => {
+test("names the missing or unsupported field in the error", () => {
   assert.match(String(parse({ prompt: "a" }).val), /^model: /);
   assert.match(
     String(parse({ model: "m", prompt: "a", n: 2 }).val),
@@ -42,10 +42,10 @@
   assert.match(String(patience.val), /X-Otterhill-Patience/);
 });
 
-test("prompts with the same beginning share their first hashes", () => {
-  const head = "commentary ".repeat(400);
-  const one = measurePrompt(`${head}one ${"a".repeat(2000)}`).prefixes;
-  const other = measurePrompt(`${head}two ${"b".repeat(2000)}`).prefixes;
-  assert.deepEqual(one.slice(0, 4), other.slice(0, 4));
-  assert.notEqual(one[4], other[4]);
+test("gives prompts with a common prefix the same leading hashes", () => {
+  const prefix = "commentary ".repeat(400);
+  const first = measurePrompt(`${prefix}one ${"a".repeat(2000)}`).prefixes;
+  const second = measurePrompt(`${prefix}two ${"b".repeat(2000)}`).prefixes;
+  assert.deepEqual(first.slice(0, 4), second.slice(0, 4));
+  assert.notEqual(first[4], second[4]);
 });
--- a/test/shell/slow_caller_test.ts
+++ b/test/shell/slow_caller_test.ts
@@ -1,4 +1,4 @@
-/** A caller that reads too slowly is cut off. */
+/** Tests that the connection of a caller that does not read is closed. */
 import { once } from "node:events";
 import { connect } from "node:net";
 import { test } from "node:test";
@@ -8,7 +8,7 @@
 
 const TEXT = "x".repeat(64 * 1024);
 
-test("a stream that its caller does not read ends as caller gone", async () => {
+test("reports callerGone when a caller does not read its stream", async () => {
   const events: Event[] = [];
   const callers = createCallers({
     push: (event) => events.push(event),
@@ -30,17 +30,17 @@
     "POST /v1/completions HTTP/1.1\r\nHost: h\r\n" +
       `Content-Length: ${body.length}\r\n\r\n${body}`,
   );
-  while (events.length === 0) await turn();
-  while (!events.some((one) => one.type === "callerGone")) {
+  while (events.length === 0) await nextTurn();
+  while (!events.some((event) => event.type === "callerGone")) {
     const chunk = { request: "h/1/1", text: TEXT, tokens: 1 };
     callers.reply({ type: "replyChunk", ...chunk });
-    await turn();
+    await nextTurn();
   }
-  assert.equal(callers.open(), 0);
+  assert.equal(callers.openCount(), 0);
   caller.destroy();
   callers.server.close();
 });
 
-function turn(): Promise<void> {
+function nextTurn(): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve));
 }
