--- a/src/gateway/state/config_catchup.ts
+++ b/src/gateway/state/config_catchup.ts
@@ -12,29 +12,34 @@
 import type { HostDirectory } from "../peers/directory.ts";
 
 /**
- * Minimum time between the starts of two fetches. Of versions published in quick
- * succession some are skipped, but never the newest.
+ * Minimum time between the starts of two fetches. Of versions published in
+ * quick succession some are skipped, but never the newest.
  */
 const MIN_FETCH_INTERVAL_MS = 300;
 /**
- * Delay before this host also sends requests to peers: far above the latency of a
- * healthy store, and far below the 2 s within which a configuration has to take
- * effect.
+ * Delay before this host also sends requests to peers: longer than a healthy
+ * store takes to respond, and a small part of the 2 s in which a configuration
+ * has to take effect.
  */
 const STORE_HEAD_START_MS = 150;
-/** Delay before the next peer also receives a request if one responds slowly. */
+/**
+ * Delay before the next peer also receives a request if one responds slowly.
+ */
 const NEXT_PEER_DELAY_MS = 300;
-/** Max peers that receive a request before the store is retried. */
+/**
+ * Maximum number of peers that receive a request before the store is retried.
+ */
 const PEERS_PER_ROUND = 4;
 /**
- * Random peers that receive a request before the host that announced the version:
- * otherwise all its followers would request a large configuration from it.
+ * Random peers that receive a request before the host that announced the
+ * version: otherwise all its followers would request a large configuration from
+ * it.
  */
 const PEERS_BEFORE_HOLDER = 2;
-/** Initial pause after a round that did not yield the version. */
-const ROUND_PAUSE_MS = 200;
-const ROUND_PAUSE_GROWTH = 1.5;
-const MAX_ROUND_PAUSE_MS = 1000;
+/** Initial delay after a round that did not yield the version. */
+const INITIAL_RETRY_DELAY_MS = 200;
+const RETRY_DELAY_GROWTH = 1.5;
+const MAX_RETRY_DELAY_MS = 1000;
 
 /** Announces that a configuration version exists. */
 export type VersionAnnouncement = {
@@ -47,7 +52,9 @@
 export type ConfigCatchupOptions = {
   readonly context: Pick<GatewayContext, "clock" | "random" | "routes">;
   readonly directory: Pick<HostDirectory, "addresses">;
-  /** Reads the store's configuration; resolves with whether the store responded. */
+  /**
+   * Reads the store's configuration; resolves with whether the store responded.
+   */
   readStore(): Promise<boolean>;
   /**
    * Requests a peer's configuration and applies it; resolves when the peer has
@@ -95,14 +102,14 @@
     const earliestAt = this.#fetchedAt + MIN_FETCH_INTERVAL_MS;
     if (clock.now() < earliestAt) await sleep(clock, earliestAt - clock.now());
     this.#fetchedAt = clock.now();
-    let pauseMs = ROUND_PAUSE_MS;
+    let retryDelayMs = INITIAL_RETRY_DELAY_MS;
     while (this.#isBehind && !this.#isStopped) {
       await this.#runRound();
       if (!this.#isBehind) break;
-      await sleep(clock, pauseMs);
-      pauseMs = Math.min(
-        MAX_ROUND_PAUSE_MS,
-        pauseMs * ROUND_PAUSE_GROWTH,
+      await sleep(clock, retryDelayMs);
+      retryDelayMs = Math.min(
+        MAX_RETRY_DELAY_MS,
+        retryDelayMs * RETRY_DELAY_GROWTH,
       );
     }
     this.#isFetching = false;
--- a/src/gateway/state/config_reader.ts
+++ b/src/gateway/state/config_reader.ts
@@ -78,7 +78,7 @@
   }
 
   /**
-   * Whether a response says nothing about the current era: it is from an earlier
+   * Whether a response does not apply to the current era: it is from an earlier
    * one, or lists changes after a position of another era.
    */
   #isOfAnotherEra(
@@ -94,8 +94,9 @@
   }
 
   /**
-   * Records that the local version was the newest one at `requestedAt`. A restored
-   * store that lacks it may lack newer versions too, so that it proves nothing.
+   * Records that the local version was the newest one at `requestedAt`. Does
+   * nothing while the era is unsettled or the store lacks the local version:
+   * the store may then lack newer versions, too.
    */
   #noteNewest(requestedAt: Milliseconds): void {
     const { context: { routes, eras }, synchronizer } = this.#options;
--- a/src/gateway/state/fleet_state.ts
+++ b/src/gateway/state/fleet_state.ts
@@ -1,6 +1,7 @@
 /**
- * Keeps the store state of this host up to date: reads the store, follows another
- * host or requests state from peers, and reports the state to followers.
+ * Keeps the store state of this host up to date: reads the store, follows
+ * another host or requests state from peers, and reports the state to
+ * followers.
  */
 import type { Milliseconds } from "../../util/units.ts";
 import type { GatewayContext } from "../context.ts";
@@ -41,7 +42,7 @@
   readonly #synchronizer: Synchronizer;
   readonly #follower: HallFollower;
   readonly #storeLoops: StoreLoops;
-  readonly #questions: PeerClient;
+  readonly #peerClient: PeerClient;
   readonly #catchup: ConfigCatchup;
 
   constructor(options: FleetStateOptions) {
@@ -53,7 +54,7 @@
       onVersionAnnounced: (announcement) =>
         this.#catchup.noteVersion(announcement),
       onChange: () => this.server.broadcast(),
-      onLeaving: (incarnations) =>
+      onDraining: (incarnations) =>
         context.draining.announceListed(incarnations),
       isRelay: () => this.#follower.isRelay,
     });
@@ -62,7 +63,7 @@
       clock: context.clock,
       crashes: context.crashes,
       limits: context.limits,
-      leaving: context.draining,
+      draining: context.draining,
       links: () => [...this.server.links, ...this.#follower.links],
     });
     this.server = new StateServer({
@@ -88,7 +89,7 @@
       synchronizer,
       follower: this.#follower,
     });
-    this.#questions = new PeerClient({
+    this.#peerClient = new PeerClient({
       context,
       directory,
       synchronizer,
@@ -100,7 +101,7 @@
       directory,
       readStore: () => this.#storeLoops.readConfig(),
       requestFromPeer: (address) =>
-        this.#questions.request(address, PeerSubject.config),
+        this.#peerClient.request(address, PeerSubject.config),
     });
   }
 
@@ -119,7 +120,7 @@
       store,
       directory,
       synchronizer: this.#synchronizer,
-      peerClient: this.#questions,
+      peerClient: this.#peerClient,
       followers: () => this.server.hosts,
       isListedByReader: () => follower.reader !== self.id && !follower.isRelay,
     });
--- a/src/gateway/state/fleet_updates.ts
+++ b/src/gateway/state/fleet_updates.ts
@@ -1,6 +1,6 @@
 /**
- * Replica state that hosts exchange in addition to the store's listing: crashes,
- * rate limits and draining replicas.
+ * Replica state that hosts exchange in addition to the store's listing:
+ * crashes, rate limits and draining replicas.
  */
 import * as z from "zod";
 import type { Clock } from "../clock.ts";
@@ -30,7 +30,7 @@
 const LIMIT_BATCH_INTERVAL_MS = 100;
 
 /** Replicas that are draining; a replica never cancels draining. */
-const LeavingSchema = z.object({
+const DrainingSchema = z.object({
   type: z.literal("leaving"),
   incarnations: z.array(z.string()).readonly(),
 });
@@ -39,12 +39,12 @@
 export type UpdateMessage =
   | CrashesMessage
   | LimitsMessage
-  | z.output<typeof LeavingSchema>;
+  | z.output<typeof DrainingSchema>;
 /** Schemas of the update messages. */
 export const UPDATE_SCHEMAS = [
   CrashesSchema,
   LimitsSchema,
-  LeavingSchema,
+  DrainingSchema,
 ] as const;
 
 /** Exchanges updates over links. */
@@ -68,7 +68,7 @@
   readonly clock: Clock;
   readonly crashes: CrashWatch;
   readonly limits: ReplicaLimits;
-  readonly leaving: DrainingReplicas;
+  readonly draining: DrainingReplicas;
   /** The open links. */
   readonly links: () => readonly Link[];
 };
@@ -78,10 +78,10 @@
   readonly #options: FleetUpdatesOptions;
   readonly #crashes: UpdateBroadcaster<CrashUpdate>;
   readonly #limits: UpdateBroadcaster<readonly LimitRecord[]>;
-  readonly #leaving: UpdateBroadcaster<readonly string[]>;
+  readonly #draining: UpdateBroadcaster<readonly string[]>;
 
   constructor(options: FleetUpdatesOptions) {
-    const { clock, crashes, limits, leaving, links } = options;
+    const { clock, crashes, limits, draining, links } = options;
     this.#options = options;
     this.#crashes = new UpdateBroadcaster({
       clock,
@@ -106,30 +106,30 @@
       encode: (records) =>
         records.length > 0 ? encodeLimits(records, clock.now()) : undefined,
     });
-    this.#leaving = new UpdateBroadcaster<readonly string[]>({
+    this.#draining = new UpdateBroadcaster<readonly string[]>({
       clock,
       batchMs: BATCH_INTERVAL_MS,
       links,
-      all: () => leaving.all(),
+      all: () => draining.all(),
       merge: (batch) => batch.flat(),
       encode: (incarnations) =>
         incarnations.length > 0 ? { type: "leaving", incarnations } : undefined,
     });
     crashes.listen((update, from) => this.#crashes.broadcast(update, from));
     limits.listen((records, from) => this.#limits.broadcast(records, from));
-    leaving.listen((incarnations, from) =>
-      this.#leaving.broadcast(incarnations, from)
+    draining.listen((incarnations, from) =>
+      this.#draining.broadcast(incarnations, from)
     );
   }
 
   sendAll(link: Link): void {
     this.#crashes.sendAll(link);
     this.#limits.sendAll(link);
-    this.#leaving.sendAll(link);
+    this.#draining.sendAll(link);
   }
 
   receive(link: Link, message: UpdateMessage): void {
-    const { clock, crashes, limits, leaving } = this.#options;
+    const { clock, crashes, limits, draining } = this.#options;
     const now = clock.now();
     switch (message.type) {
       case "crashes":
@@ -137,12 +137,12 @@
       case "limits":
         return limits.receive(decodeLimits(message, now), link);
       case "leaving":
-        return leaving.receive(message.incarnations, link);
+        return draining.receive(message.incarnations, link);
     }
   }
 }
 
-/** Keeps the last record of each replica. */
+/** Returns the last record of each replica. */
 function latestByReplica(records: readonly LimitRecord[]): LimitRecord[] {
   return [
     ...new Map(records.map((record) => [record.incarnation, record])).values(),
--- a/src/gateway/state/hall_follower.ts
+++ b/src/gateway/state/hall_follower.ts
@@ -1,7 +1,8 @@
 /**
- * Receives the store state from another host, so that one host reads the store for
- * the whole fleet (see reader_choice). Switches to the next reader if the current
- * one does not respond, or if the store responds to this host but not to it.
+ * Receives the store state from another host, so that one host reads the store
+ * for the whole fleet (see reader_choice). Switches to the next reader if the
+ * current one does not respond, or if the store responds to this host but not
+ * to it.
  */
 import type { HostId } from "../../util/ids.ts";
 import type { Milliseconds } from "../../util/units.ts";
@@ -21,7 +22,9 @@
 import { chooseReader } from "./reader_choice.ts";
 import { ReaderMessageSchema, type StateMessage } from "./state_messages.ts";
 
-/** Interval at which the reader is chosen again, also while its link is open. */
+/**
+ * Interval at which the reader is chosen again, also while its link is open.
+ */
 const CHECK_INTERVAL_MS = 1000;
 /** Interval at which a starting host checks for its first listing. */
 const STARTUP_CHECK_INTERVAL_MS = 100;
@@ -31,7 +34,9 @@
 const MAX_REPORT_AGE_MS = 1000;
 /** Time for which a reader that failed is not chosen again. */
 const SUSPECT_TTL_MS = 3000;
-/** Time for which a host is not chosen after a link to it could not be opened. */
+/**
+ * Time for which a host is not chosen after a link to it could not be opened.
+ */
 const UNREACHABLE_TTL_MS = 1000;
 
 /**
@@ -41,9 +46,9 @@
 const CLOCK_SYNC_INTERVAL_MS = 30_000;
 
 /**
- * Time for which a starting host waits for its own first listing before it follows
- * a reader. The reader then only sends changes; full listings for many followers
- * at once would saturate its uplink.
+ * Time for which a starting host waits for its own first listing before it
+ * follows a reader. The reader then only sends changes; full listings for many
+ * followers at once would saturate its uplink.
  */
 const FIRST_LISTING_TIMEOUT_MS = 2000;
 
@@ -54,8 +59,8 @@
   readonly address: string;
   readonly message: StateMessage;
   /**
-   * Time by this host's clock at which the store had no newer configuration than
-   * the reader; undefined: unknown.
+   * Time by this host's clock at which the store had no newer configuration
+   * than the reader; undefined: unknown.
    */
   readonly configAsOf: Milliseconds | undefined;
 };
@@ -105,7 +110,9 @@
     this.#reader = options.self.id;
   }
 
-  /** The host that this one follows; its own id if it reads the store itself. */
+  /**
+   * The host that this one follows; its own id if it reads the store itself.
+   */
   get reader(): HostId {
     return this.#reader;
   }
@@ -117,7 +124,10 @@
     );
   }
 
-  /** Discards the readers' clock offsets after a suspension, and requests new ones. */
+  /**
+   * Discards the readers' clock offsets after a suspension, and requests new
+   * ones.
+   */
   resetClocks(): void {
     const { clock } = this.#options.context;
     for (const remote of this.#clocks) remote.reset();
@@ -126,7 +136,9 @@
     this.#candidate?.link.send({ type: "sync", sentAt: clock.now() });
   }
 
-  /** Whether this host follows a reader in another hall and relays to its own. */
+  /**
+   * Whether this host follows a reader in another hall and relays to its own.
+   */
   get isRelay(): boolean {
     const { self, directory } = this.#options;
     if (this.#reader === self.id) return false;
@@ -148,7 +160,9 @@
     );
   }
 
-  /** Leaves the reader, unless it was chosen less than `REPORT_TIMEOUT_MS` ago. */
+  /**
+   * Leaves the reader, unless it was chosen less than `REPORT_TIMEOUT_MS` ago.
+   */
   leaveIfStale(reason: string): void {
     const openMs = this.#options.context.clock.now() - this.#openedAt;
     if (openMs > REPORT_TIMEOUT_MS) this.#leave(reason);
--- a/src/gateway/state/reader_choice.ts
+++ b/src/gateway/state/reader_choice.ts
@@ -17,9 +17,9 @@
 
 /**
  * The host that `self` follows; `self` if it comes first or no other host is
- * available. All hosts use the same order: the first host of a hall relays to its
- * hall and follows the first host of the fleet, which reads the store. The number
- * of calls to the store therefore does not grow with the fleet.
+ * available. All hosts use the same order: the first host of a hall relays to
+ * its hall and follows the first host of the fleet, which reads the store. The
+ * number of calls to the store therefore does not grow with the fleet.
  */
 export function chooseReader(query: ReaderQuery): HostId {
   const { self, hosts, orders, isSuspect } = query;
@@ -29,7 +29,7 @@
     id === self.id || (hallOf.get(id) === self.hall && !isSuspect(id))
   );
   if (relay !== undefined && relay !== self.id) return relay;
-  // A hall with an unreachable host is most likely unreachable as a whole.
+  // If one host of a hall is unreachable, probably all of them are.
   const suspectHalls = new Set(
     hosts.filter((host) => isSuspect(host.id) && host.hall !== self.hall)
       .map((host) => host.hall),
--- a/src/gateway/state/row_faults.ts
+++ b/src/gateway/state/row_faults.ts
@@ -2,10 +2,10 @@
 import type { EventLog } from "../observe/event_log.ts";
 import type { RowFault } from "../port.ts";
 
-/** Max logged rows that are remembered. */
-const MAX_REMEMBERED_FAULTS = 1000;
+/** Maximum number of logged rows that are stored. */
+const MAX_LOGGED_FAULTS = 1000;
 
-/** Remembers the rows that were logged, with the reason. */
+/** Stores which rows were logged, with the reason. */
 export class RowFaults {
   readonly #events: EventLog;
   readonly #logged = new Map<string, string>();
@@ -18,7 +18,7 @@
   note(faults: readonly RowFault[] = []): void {
     for (const { key, reason } of faults) {
       if (this.#logged.get(key) === reason) continue;
-      if (this.#logged.size >= MAX_REMEMBERED_FAULTS) this.#logged.clear();
+      if (this.#logged.size >= MAX_LOGGED_FAULTS) this.#logged.clear();
       this.#logged.set(key, reason);
       this.#events.note("rowUnreadable", { key, reason });
     }
--- a/src/gateway/state/state_messages.ts
+++ b/src/gateway/state/state_messages.ts
@@ -27,8 +27,8 @@
 const State = z.object({
   type: z.literal("state"),
   /**
-   * The newest era of the store that the reader knows; absent: the store reported
-   * none, or the reader runs a version without eras.
+   * The newest era of the store that the reader has observed; absent: the store
+   * reported none, or the reader runs a version without eras.
    */
   era: z.number().exactOptional(),
   /** The era is not settled: the store may still lack what a restore lost. */
--- a/src/gateway/state/state_server.ts
+++ b/src/gateway/state/state_server.ts
@@ -21,8 +21,8 @@
 
 /**
  * Followers fetch a larger configuration themselves after its version is
- * announced. Sending it to all followers at once would saturate the host's uplink
- * for longer than a configuration may take to come into force.
+ * announced. Sending it to all followers at once would saturate the host's
+ * uplink for longer than a configuration may take to come into force.
  */
 const MAX_CONFIG_BYTES = 32 * 1024;
 
@@ -160,8 +160,9 @@
     const isFresh = Number.isFinite(age);
     const isNewer = revision !== replicas.revision;
     const isSettled = eras.isSettled(clock.now());
-    // A listing of an unsettled era may come from an older backup and is withheld.
-    // The age is still reported, so that followers don't all list the replicas.
+    // A listing of an unsettled era may come from an older backup and is
+    // withheld. The age is still reported, so that followers don't all list the
+    // replicas.
     const listing = isFresh && isNewer && isSettled
       ? replicas.deltaSince(revision)
       : undefined;
--- a/src/gateway/state/store_calls.ts
+++ b/src/gateway/state/store_calls.ts
@@ -1,6 +1,6 @@
 /**
- * Calls to the store, with timeouts and metrics. Discards the response of a call
- * during which the machine was suspended.
+ * Calls to the store, with timeouts and metrics. Discards the response of a
+ * call during which the machine was suspended.
  */
 import type { Milliseconds } from "../../util/units.ts";
 import type { GatewayContext } from "../context.ts";
--- a/src/gateway/state/store_eras.ts
+++ b/src/gateway/state/store_eras.ts
@@ -4,8 +4,8 @@
  * an earlier era stays in use, but never makes a response of a later era stale.
  *
  * Right after a restore the store lacks entries that have yet to be rewritten
- * and contains entries that had already been deleted. The era is unsettled until
- * `SETTLE_MS` have passed, or until another host reports it as settled.
+ * and contains entries that had already been deleted. The era is unsettled
+ * until `SETTLE_MS` have passed, or until another host reports it as settled.
  */
 import type { Milliseconds } from "../../util/units.ts";
 import type { EventLog } from "../observe/event_log.ts";
@@ -29,7 +29,7 @@
 /** Called after each change of the era. */
 export type EraListener = () => void;
 
-/** The current era, and since when this host has known it. */
+/** Tracks the current era and when this host first observed it. */
 export class StoreEras {
   readonly #events: EventLog;
   readonly #listeners: EraListener[] = [];
@@ -38,7 +38,7 @@
   #observedAt: Milliseconds = -Infinity;
   #settledAt: Milliseconds = -Infinity;
   #isFirstEra = false;
-  /** The era as the store's last response named it. */
+  /** The era that the store's last response reported. */
   #reportedEra: number | undefined;
 
   constructor(events: EventLog) {
@@ -54,7 +54,7 @@
     return eraOf(this.#newest);
   }
 
-  /** Converts a position of the current era to the store's own terms. */
+  /** Converts a position of the current era to the store's revision and era. */
   toStorePosition(position: Position): StorePosition {
     const era = this.#reportedEra;
     return {
@@ -75,8 +75,8 @@
    * The position of a response, given the snapshot from the start of its call.
    * Also detects a restore when the store reports no new era: reads are
    * linearizable, so a revision below the one known before the call belongs to
-   * the next era. If such responses were dropped as stale, the host would ignore
-   * the store until its revision exceeds the old one.
+   * the next era. If such responses were dropped as stale, the host would
+   * ignore the store until its revision exceeds the old one.
    */
   resolvePosition(
     { revision, era }: StorePosition,
@@ -91,8 +91,8 @@
   }
 
   /**
-   * Records a position that the store or another host reported. `isSettled`: the
-   * reporting host considers the era settled.
+   * Records a position that the store or another host reported. `isSettled`:
+   * the reporting host considers the era settled.
    */
   observe(
     position: Position,
@@ -134,8 +134,8 @@
   }
 
   /**
-   * Whether this host has known no earlier era and the current one may have just
-   * begun: other hosts may have newer state than the store.
+   * Whether this host has observed no earlier era and the current one may have
+   * just begun: other hosts may have newer state than the store.
    */
   isUnverified(now: Milliseconds): boolean {
     return this.#isFirstEra && !this.isSettled(now);
--- a/src/gateway/state/store_loops.ts
+++ b/src/gateway/state/store_loops.ts
@@ -29,23 +29,26 @@
   readonly watchMs: Milliseconds;
 };
 
-/** Minimum pause between two calls of the same kind. */
-const MIN_PAUSE_MS = 250;
+/** Minimum interval between two calls of the same kind. */
+const MIN_CALL_INTERVAL_MS = 250;
 /**
  * Initial and maximum backoff of a follower while the store is unavailable. The
- * reader retries faster and reports the store's return, so that a follower's calls
- * only matter while the store rejects the reader but not this host.
+ * reader retries faster and reports when the store is available again, so that
+ * a follower's calls only matter while the store rejects the reader but not
+ * this host.
  */
-const FOLLOWER_PAUSE_MS = 900;
-const MAX_FOLLOWER_PAUSE_MS = 3600;
+const FOLLOWER_BACKOFF_MS = 900;
+const MAX_FOLLOWER_BACKOFF_MS = 3600;
 /** Random share of a backoff, which keeps hosts from calling in lockstep. */
-const PAUSE_JITTER = 0.4;
+const BACKOFF_JITTER = 0.4;
 /**
- * Factor on the listing interval of a follower that has no fresh report, such as a
- * starting host that waits for the first one.
+ * Factor on the listing interval of a follower that has no fresh report, such
+ * as a starting host that waits for the first one.
  */
 const FOLLOWER_LIST_FACTOR = 1.8;
-/** Minimum interval at which the freshness of the reader's report is checked. */
+/**
+ * Minimum interval at which the freshness of the reader's report is checked.
+ */
 const MIN_CHECK_INTERVAL_MS = 50;
 
 /** Replicas per response of the store. */
@@ -84,7 +87,9 @@
   readonly #storeClock = new RemoteClock();
   /** Time at which the data last read from the store was current. */
   #storeAsOf: Milliseconds = 0;
-  /** Whether the table has the full listing, so that reading changes suffices. */
+  /**
+   * Whether the table has the full listing, so that reading changes suffices.
+   */
   #hasFullListing = false;
 
   constructor(options: StoreLoopsOptions) {
@@ -140,8 +145,8 @@
       }
       const isWatch = this.#hasFullListing;
       const answered = await this.#readReplicas();
-      const spent = clock.now() - startedAt;
-      await sleep(clock, this.#pauseMs({ answered, isWatch, spent }));
+      const spentMs = clock.now() - startedAt;
+      await sleep(clock, this.#nextDelayMs({ answered, isWatch, spentMs }));
     }
   }
 
@@ -152,33 +157,38 @@
     await sleep(clock, Math.max(MIN_CHECK_INTERVAL_MS, freshMs));
   }
 
-  /** Pause before the next read. A watch has already waited at the store. */
-  #pauseMs(
-    { answered, isWatch, spent }: {
+  /** Delay before the next read. A watch has already waited at the store. */
+  #nextDelayMs(
+    { answered, isWatch, spentMs }: {
       readonly answered: boolean;
       readonly isWatch: boolean;
-      readonly spent: Milliseconds;
+      readonly spentMs: Milliseconds;
     },
   ): Milliseconds {
     if (answered && (isWatch || this.#hasFullListing)) {
-      return Math.max(0, MIN_PAUSE_MS - spent);
+      return Math.max(0, MIN_CALL_INTERVAL_MS - spentMs);
     }
-    const pause = answered ? this.#listPauseMs() : this.#failedPauseMs();
-    const left = Math.max(MIN_PAUSE_MS, pause - spent);
+    const delayMs = answered ? this.#listDelayMs() : this.#failureBackoffMs();
+    const leftMs = Math.max(MIN_CALL_INTERVAL_MS, delayMs - spentMs);
     const { clock, eras } = this.#options.context;
     const unsettledMs = eras.unsettledForMs(clock.now());
-    // Lists as soon as the era is settled, since followers wait for that listing.
-    return unsettledMs > 0 ? Math.min(left, unsettledMs) : left;
+    // Lists as soon as the era is settled, since followers wait for that
+    // listing.
+    return unsettledMs > 0 ? Math.min(leftMs, unsettledMs) : leftMs;
   }
 
-  /** Reads the changes of the listing, or the full listing if that isn't enough. */
+  /**
+   * Reads the changes of the listing, or the full listing if that isn't enough.
+   */
   async #readReplicas(): Promise<boolean> {
     const { context, synchronizer, follower } = this.#options;
-    const read = this.#hasFullListing
+    const outcome = this.#hasFullListing
       ? await this.#watchReplicas()
       : await this.#listReplicas();
-    const answered = read === "applied";
-    if (read !== "older") synchronizer.noteStoreRead(answered, this.#storeAsOf);
+    const answered = outcome === "applied";
+    if (outcome !== "older") {
+      synchronizer.noteStoreRead(answered, this.#storeAsOf);
+    }
     const isSettled = !synchronizer.retainsMissing(context.clock.now());
     this.#hasFullListing = answered && isSettled && !this.#isFollower;
     // The watch may hang on a dead connection and is restarted.
@@ -224,7 +234,9 @@
     });
   }
 
-  /** A long listing takes several responses, each with the timeout of a call. */
+  /**
+   * A long listing takes several responses, each with the timeout of a call.
+   */
   #listTimeoutMs(): Milliseconds {
     const { context: { replicas }, times } = this.#options;
     const size = replicas.revision < 0 ? FIRST_LIST_SIZE : replicas.size;
@@ -232,8 +244,8 @@
   }
 
   /**
-   * Reads only the changes: a full listing of a large fleet may take longer than
-   * the call's timeout on a slow link.
+   * Reads only the changes: a full listing of a large fleet may take longer
+   * than the call's timeout on a slow link.
    */
   async #watchReplicas(): Promise<ReadOutcome> {
     const { context: { clock, replicas, eras }, store, synchronizer, times } =
@@ -268,17 +280,17 @@
   }
 
   /** A follower lists less often, since a report of its reader is likely. */
-  #listPauseMs(): Milliseconds {
+  #listDelayMs(): Milliseconds {
     const { listMs } = this.#options.times;
     return this.#isFollower ? listMs * FOLLOWER_LIST_FACTOR : listMs;
   }
 
-  #failedPauseMs(): Milliseconds {
-    if (!this.#isFollower) return MIN_PAUSE_MS;
+  #failureBackoffMs(): Milliseconds {
+    if (!this.#isFollower) return MIN_CALL_INTERVAL_MS;
     const doublings = Math.min(8, Math.max(0, this.#failures - 1));
-    const pause = FOLLOWER_PAUSE_MS * 2 ** doublings;
-    const spread = 1 + this.#options.context.random() * PAUSE_JITTER;
-    return Math.min(MAX_FOLLOWER_PAUSE_MS, pause) * spread;
+    const backoffMs = FOLLOWER_BACKOFF_MS * 2 ** doublings;
+    const spread = 1 + this.#options.context.random() * BACKOFF_JITTER;
+    return Math.min(MAX_FOLLOWER_BACKOFF_MS, backoffMs) * spread;
   }
 
   async #followConfig(): Promise<void> {
@@ -292,11 +304,11 @@
       }
       // The loop for replicas detects when the store is available again.
       if (this.#failures > 0 && routes.config !== undefined) {
-        await sleep(clock, MIN_PAUSE_MS);
+        await sleep(clock, MIN_CALL_INTERVAL_MS);
         continue;
       }
       const reading = await this.#config.read(position);
-      if (!reading) await sleep(clock, this.#failedPauseMs());
+      if (!reading) await sleep(clock, this.#failureBackoffMs());
       position = reading?.position;
     }
   }
--- a/src/gateway/state/synchronizer.ts
+++ b/src/gateway/state/synchronizer.ts
@@ -1,6 +1,7 @@
 /**
- * Applies store state from all sources to the local tables: from the store, from
- * reports of the reader, and from peers. Never replaces newer state by older.
+ * Applies store state from all sources to the local tables: from the store,
+ * from reports of the reader, and from peers. Never replaces newer state by
+ * older.
  */
 import type { Milliseconds } from "../../util/units.ts";
 import type { GatewayContext } from "../context.ts";
@@ -15,8 +16,8 @@
 /** A follower reads the store itself if its store state is older than this. */
 const MAX_REPORT_AGE_MS = 1300;
 /**
- * As `MAX_REPORT_AGE_MS`, for the relay of a hall. Lower, so that a relay reads the
- * store before all its followers would do so at once.
+ * As `MAX_REPORT_AGE_MS`, for the relay of a hall. Lower, so that a relay reads
+ * the store before all its followers would do so at once.
  */
 const MAX_RELAY_REPORT_AGE_MS = 1000;
 
@@ -26,10 +27,12 @@
   readonly onConfig: (config: RouteConfig) => void;
   /** A configuration version exists that this host lacks. */
   readonly onVersionAnnounced: (announcement: VersionAnnouncement) => void;
-  /** Routes or replicas have changed, or the store state was confirmed again. */
+  /**
+   * Routes or replicas have changed, or the store state was confirmed again.
+   */
   readonly onChange: () => void;
   /** A listing that this host has just applied contains draining replicas. */
-  readonly onLeaving: (incarnations: readonly string[]) => void;
+  readonly onDraining: (incarnations: readonly string[]) => void;
   /** Whether this host relays the store state to its hall. */
   readonly isRelay: () => boolean;
 };
@@ -48,7 +51,7 @@
   #lastReport: ReportTime | undefined;
   /** The local configuration was the store's newest one at this time. */
   #configAsOf: Milliseconds = -Infinity;
-  #isStoreLost = false;
+  #isStoreUnavailable = false;
   #settledAt: Milliseconds = 0;
 
   constructor(options: SynchronizerOptions) {
@@ -82,8 +85,8 @@
   }
 
   /**
-   * Records that the store had no version newer than this one at `asOf`, by this
-   * host's clock; `asOf` must not be later than the read.
+   * Records that the store had no version newer than this one at `asOf`, by
+   * this host's clock; `asOf` must not be later than the read.
    */
   noteNewest(version: number, asOf: Milliseconds): void {
     if (version > this.#context.routes.version) return;
@@ -91,11 +94,11 @@
   }
 
   /**
-   * Age of the state to report to followers; Infinity: report none. A host whose
-   * store calls failed until recently reports none, since followers that the store
-   * served have better state. Nor does a host that may only have seen the store
-   * after a restore. A host that knew an earlier era goes on to report, so that
-   * its followers don't all list the replicas at once.
+   * Age of the state to report to followers; Infinity: report none. A host
+   * whose store calls failed until recently reports none, since followers that
+   * the store served have better state. Nor does a host that may only have seen
+   * the store after a restore. A host that observed an earlier era continues to
+   * report, so that its followers don't all list the replicas at once.
    */
   reportableAgeMs(now: Milliseconds): Milliseconds {
     const isWithheld = this.#wasUnavailable(now) ||
@@ -112,10 +115,13 @@
   }
 
   #wasUnavailable(now: Milliseconds): boolean {
-    return this.#isStoreLost || now < this.#settledAt;
+    return this.#isStoreUnavailable || now < this.#settledAt;
   }
 
-  /** Whether the reader's report is fresh, so that this host need not read the store. */
+  /**
+   * Whether the reader's report is fresh, so that this host need not read the
+   * store.
+   */
   hasFreshReport(now: Milliseconds): boolean {
     return this.freshForMs(now) > 0;
   }
@@ -129,7 +135,9 @@
     return Math.max(0, this.#lastReport.asOf + freshMs - now);
   }
 
-  /** Applies a configuration from the store or a peer; false: it is not newer. */
+  /**
+   * Applies a configuration from the store or a peer; false: it is not newer.
+   */
   applyConfig(config: RouteConfig, source: string): boolean {
     const { routes, events } = this.#context;
     const before = routes.version;
@@ -146,8 +154,8 @@
   }
 
   /**
-   * Records an announced version. Announces a new one to followers at once, also
-   * if this host can't fetch it.
+   * Records an announced version. Announces a new one to followers at once,
+   * also if this host can't fetch it.
    */
   noteVersion(announcement: VersionAnnouncement, source: string): void {
     const { routes, events } = this.#context;
@@ -197,7 +205,7 @@
       const isSettled = ageMs !== undefined && message.isSettling !== true;
       eras.observe(positionOf(era, 0), now, { isSettled });
     }
-    // A report of an earlier era says nothing about the current store state.
+    // A report of an earlier era does not show the current store state.
     if ((era ?? 0) < eras.era) return true;
     const change = listing ? replicas.applyDelta(listing) : undefined;
     if (change === "gap") return false;
@@ -221,15 +229,15 @@
     const now = clock.now();
     const fields = { age_ms: ageField(this.storeAgeMs(now)) };
     if (!answered) {
-      if (!this.#isStoreLost) events.note("storeLost", fields);
-      this.#isStoreLost = true;
+      if (!this.#isStoreUnavailable) events.note("storeLost", fields);
+      this.#isStoreUnavailable = true;
       return;
     }
-    if (this.#isStoreLost) {
+    if (this.#isStoreUnavailable) {
       events.note("storeBack", fields);
       this.#settledAt = now + SETTLE_MS;
     }
-    this.#isStoreLost = false;
+    this.#isStoreUnavailable = false;
     this.#readAt = asOf;
     this.#options.onChange();
   }
@@ -259,15 +267,17 @@
       pool.removeReplica(incarnation);
       crashes.noteRemoved(entry);
     }
-    const leaving = [...change.draining, ...change.added]
+    const draining = [...change.draining, ...change.added]
       .filter((entry) => entry.leaving);
-    this.#options.onLeaving(leaving.map((entry) => entry.incarnation));
+    this.#options.onDraining(draining.map((entry) => entry.incarnation));
     const count = change.changedIds.length + change.removed.length;
     if (count > 0) this.#options.onChange();
   }
 }
 
-/** The newest version that a reader knows, with its address if it has it. */
+/**
+ * The newest version that a report names, with its holder if the reader has it.
+ */
 function announcementOf(
   { message, address }: ReaderReport,
 ): VersionAnnouncement {
--- a/src/gateway/state/with_timeout.ts
+++ b/src/gateway/state/with_timeout.ts
@@ -3,7 +3,7 @@
 import type { Clock } from "../clock.ts";
 
 /** A call and its timeout. */
-export type LimitedCall<Value> = {
+export type TimedCall<Value> = {
   readonly clock: Clock;
   readonly timeoutMs: Milliseconds;
   work(signal: AbortSignal): Promise<Value>;
@@ -13,7 +13,7 @@
 
 /** Runs a call with a timeout; undefined if it fails or times out. */
 export async function withTimeout<Value>(
-  call: LimitedCall<Value>,
+  call: TimedCall<Value>,
 ): Promise<Value | undefined> {
   const { clock, timeoutMs } = call;
   const controller = new AbortController();
--- a/test/gateway/state/config_catchup_test.ts
+++ b/test/gateway/state/config_catchup_test.ts
@@ -1,4 +1,7 @@
-/** Tests that an announced configuration is fetched from the store or from peers. */
+/**
+ * Tests that an announced configuration is fetched from the store or from
+ * peers.
+ */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { RouteTable } from "../../../src/gateway/routing/route_table.ts";
--- a/test/gateway/state/config_in_force_test.ts
+++ b/test/gateway/state/config_in_force_test.ts
@@ -1,7 +1,8 @@
 /**
  * Tests that a configuration takes effect in time at every host that the store
- * serves, also if the store rejects the relay or reader that the host follows. A
- * relay once announced only versions that it had fetched itself.
+ * serves, also if the store rejects the relay or reader that the host follows.
+ * Guards against relays that announce only versions that they have fetched
+ * themselves.
  */
 import assert from "node:assert/strict";
 import { test } from "node:test";
--- a/test/gateway/state/draining_after_restore_test.ts
+++ b/test/gateway/state/draining_after_restore_test.ts
@@ -1,7 +1,7 @@
 /**
- * Tests that a replica that starts draining right after a store restore gets no new
- * requests from any host. Followers once learned of it only after the era had
- * settled, since a listing is withheld until then.
+ * Tests that a replica that starts draining right after a store restore gets no
+ * new requests from any host. Listings are withheld until the era is settled,
+ * so followers must receive the draining replica by an update.
  */
 import assert from "node:assert/strict";
 import { test } from "node:test";
--- a/test/gateway/state/fleet_store.ts
+++ b/test/gateway/state/fleet_store.ts
@@ -1,4 +1,6 @@
-/** A simulated store that serves some hosts and rejects others, in virtual time. */
+/**
+ * A simulated store that serves some hosts and rejects others, in virtual time.
+ */
 import type { Clock } from "../../../src/gateway/clock.ts";
 import type {
   ConfigReading,
@@ -13,13 +15,17 @@
 
 const STORE_LATENCY_MS = 2;
 
-/** How the store treats a host: serves it, resets its calls, or doesn't respond. */
+/**
+ * How the store treats a host: serves it, resets its calls, or doesn't respond.
+ */
 export type Treatment = "served" | "reset" | "silent";
 
 /** A call that waits for a change or its timeout. */
 type Watch = { wake(): void; fail(): void; readonly host: string };
 
-/** A replica's row, without an entry if deleted, and the revision of the write. */
+/**
+ * A replica's row, without an entry if deleted, and the revision of the write.
+ */
 type ReplicaRow = {
   readonly entry?: ReplicaEntry;
   readonly revision: number;
--- a/test/gateway/state/hall_link_test.ts
+++ b/test/gateway/state/hall_link_test.ts
@@ -1,4 +1,7 @@
-/** Tests that a follower receives state over a real link, and leaves a dead reader. */
+/**
+ * Tests that a follower receives state over a real link, and leaves a dead
+ * reader.
+ */
 import assert from "node:assert/strict";
 import { createServer } from "node:http";
 import { test } from "node:test";
--- a/test/gateway/state/reader_choice_test.ts
+++ b/test/gateway/state/reader_choice_test.ts
@@ -12,10 +12,10 @@
 }));
 
 function readerOf(self: HostEntry, suspects: readonly string[] = []): string {
-  const others = HOSTS.filter((host) => host !== self);
+  const hosts = HOSTS.filter((host) => host !== self);
   return chooseReader({
     self,
-    hosts: others,
+    hosts,
     orders: new HostOrders(self.id),
     isSuspect: (id) => suspects.includes(id),
   });
--- a/test/gateway/state/state_fleet.ts
+++ b/test/gateway/state/state_fleet.ts
@@ -123,7 +123,9 @@
     return host;
   }
 
-  /** From now on, drops everything between hosts for which `isCut` returns true. */
+  /**
+   * From now on, drops everything between hosts for which `isCut` returns true.
+   */
   partition(isCut: (from: FleetHost, to: FleetHost) => boolean): void {
     this.#isCut = isCut;
     for (const link of [...this.#openLinks]) {
@@ -133,8 +135,8 @@
   }
 
   /**
-   * Suspends a host's machine: its steady clock and timers stop, and messages to it
-   * are delivered when it resumes.
+   * Suspends a host's machine: its steady clock and timers stop, and messages
+   * to it are delivered when it resumes.
    */
   suspend({ suspension }: FleetHost, forMs: number): void {
     suspension.until = this.now + forMs;
--- a/test/gateway/state/store_eras_test.ts
+++ b/test/gateway/state/store_eras_test.ts
@@ -40,7 +40,7 @@
   const { eras, restored } = start();
   eras.observe(positionOf(4, 20), 1000);
   assert.deepEqual(restored, []);
-  // This host can't tell whether the era has just begun.
+  // The era may have just begun.
   assert.equal(eras.isSettled(1000), false);
   assert.equal(eras.isUnverified(1000), true);
   eras.markSettled(4);
--- a/test/gateway/state/store_loops_test.ts
+++ b/test/gateway/state/store_loops_test.ts
@@ -12,7 +12,9 @@
 import { neverSuspended } from "../never_suspended.ts";
 import { emptyStoreEras } from "../empty_store_eras.ts";
 
-/** The calls that a host makes in ten seconds while the store is unavailable. */
+/**
+ * The calls that a host makes in ten seconds while the store is unavailable.
+ */
 async function callsWhileUnavailable(reader: string): Promise<string[]> {
   const calls: string[] = [];
   const timers: { at: number; work: () => void }[] = [];
@@ -80,7 +82,10 @@
   }
 });
 
-/** Starts loops with a store whose listings take `listDurationMs`; counts its calls. */
+/**
+ * Starts loops with a store whose listings take `listDurationMs`; counts its
+ * calls.
+ */
 function startSlowStore(listDurationMs: number) {
   const timers: { at: number; work: () => void }[] = [];
   const time = { now: 0 };
--- a/test/gateway/state/store_restored_test.ts
+++ b/test/gateway/state/store_restored_test.ts
@@ -1,7 +1,7 @@
 /**
- * Tests that writes confirmed after a store restore take effect in time. Hosts once
- * dropped all responses of the restored store as stale until its revision exceeded
- * the old one, and missed writes below it for good.
+ * Tests that writes confirmed after a store restore take effect in time. Guards
+ * against hosts that drop all responses of a restored store as stale until its
+ * revision exceeds the old one.
  */
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -41,7 +41,9 @@
   readonly reportsEra?: boolean;
 };
 
-/** Creates a fleet whose store was just restored and its lost writes repeated. */
+/**
+ * Creates a fleet whose store was just restored and its lost writes repeated.
+ */
 async function createRestoredFleet(
   scenario: RestoreScenario,
 ): Promise<StateFleet> {
@@ -75,8 +77,8 @@
 }
 
 /**
- * Publishes a version and drains a replica, and returns the hosts at which either
- * takes effect late.
+ * Publishes a version and drains a replica, and returns the hosts at which
+ * either takes effect late.
  */
 async function findLateHosts(fleet: StateFleet): Promise<string[]> {
   fleet.store.publish(configOf(3));
@@ -114,7 +116,8 @@
     const backup = store.backUp();
     store.advanceRevision(5);
     await fleet.runTo(fleet.now + BACKUP_AGE_MS);
-    // Written between two reads of any host; the revision then exceeds the old one.
+    // Written between two reads of any host; the revision then exceeds the old
+    // one.
     store.restore(backup);
     store.publish(configOf(2));
     store.putReplica({ ...DRAINING, leaving: true });
@@ -179,7 +182,9 @@
   }
 });
 
-/** Creates a fleet whose restored store lost version 2 and two replica changes. */
+/**
+ * Creates a fleet whose restored store lost version 2 and two replica changes.
+ */
 async function createFleetWithLoss(
   seed: number,
   routes = FEW,
--- a/test/gateway/state/suspension_test.ts
+++ b/test/gateway/state/suspension_test.ts
@@ -1,4 +1,6 @@
-/** Tests how old a host considers its state after a suspension, in virtual time. */
+/**
+ * Tests how old a host considers its state after a suspension, in virtual time.
+ */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { RouteConfig } from "../../../src/gateway/mod.ts";
@@ -72,7 +74,8 @@
       };
       assert.ok(ageMs() < MAX_AGE_MS);
       fleet.suspend(host, durationMs);
-      // Messages waiting for the resumed host were sent just before this change.
+      // Messages waiting for the resumed host were sent just before this
+      // change.
       await fleet.runTo(STARTUP_MS + durationMs - 1);
       fleet.store.publish(configOf(2));
       const changedAt = fleet.now;
--- a/test/gateway/state/synchronizer_test.ts
+++ b/test/gateway/state/synchronizer_test.ts
@@ -1,4 +1,6 @@
-/** Tests which store state a host applies, and how old it considers the state. */
+/**
+ * Tests which store state a host applies, and how old it considers the state.
+ */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { GatewayContext } from "../../../src/gateway/context.ts";
@@ -36,7 +38,7 @@
     onConfig: () => undefined,
     onChange: () => changedAt.push(time.now),
     onVersionAnnounced: (announcement) => announced.push(announcement),
-    onLeaving: () => undefined,
+    onDraining: () => undefined,
     isRelay: () => isRelay,
   });
   const read = (revision: number, entries: readonly ReplicaEntry[]) => {
