--- a/src/gateway/replicas/backoffs.ts
+++ b/src/gateway/replicas/backoffs.ts
@@ -9,7 +9,10 @@
 
 /** Caps a backoff, so that a faulty header can't disable a replica for good. */
 const MAX_BACKOFF_MS: Milliseconds = 10 * 60_000;
-/** Random extension, as a share of the backoff, so that hosts don't resume at once. */
+/**
+ * Random extension, as a share of the backoff, so that hosts don't resume at
+ * once.
+ */
 const JITTER_RATIO = 0.1;
 const MAX_JITTER_MS: Milliseconds = 500;
 /** Maximum wait for the response to a trial request. */
--- a/src/gateway/replicas/choice.ts
+++ b/src/gateway/replicas/choice.ts
@@ -17,7 +17,8 @@
 
 /**
  * Returns the replica with the lowest cost: its load, the penalty of a remote
- * hall, and its recent failures. Paused replicas are used only as a last resort.
+ * hall, and its recent failures. Paused replicas are used only as a last
+ * resort.
  */
 export function chooseReplica(
   replicas: readonly Replica[],
--- a/src/gateway/replicas/create_replica_state.ts
+++ b/src/gateway/replicas/create_replica_state.ts
@@ -26,7 +26,7 @@
   readonly openLink: (target: LinkTarget, events: LinkEvents) => Link;
 };
 
-/** The replicas, and what decides whether requests may be sent to them. */
+/** The replicas, and the components that decide on sends to them. */
 export type ReplicaState = {
   readonly replicas: ReplicaTable;
   readonly limits: ReplicaLimits;
@@ -38,7 +38,7 @@
 export function createReplicaState(options: ReplicaStateOptions): ReplicaState {
   const { self, clock, random, events, metrics, directory, openLink } = options;
   const replicas = new ReplicaTable();
-  const leaving = new DrainingReplicas(replicas, events);
+  const draining = new DrainingReplicas(replicas, events);
   const limits = new ReplicaLimits({
     self,
     clock,
@@ -54,8 +54,8 @@
     random,
     events,
     replicas,
-    draining: leaving,
+    draining,
     limits,
   });
-  return { replicas, limits, draining: leaving, gate };
+  return { replicas, limits, draining, gate };
 }
--- a/src/gateway/replicas/draining_replicas.ts
+++ b/src/gateway/replicas/draining_replicas.ts
@@ -45,7 +45,9 @@
     this.#notify(added, undefined);
   }
 
-  /** Announces replicas that the listing reports; the table has them already. */
+  /**
+   * Announces replicas that the listing reports; the table has them already.
+   */
   announceListed(incarnations: readonly string[]): void {
     this.#notify(incarnations, undefined);
   }
--- a/src/gateway/replicas/model.ts
+++ b/src/gateway/replicas/model.ts
@@ -31,8 +31,9 @@
 };
 
 /**
- * Identifies one start of a replica. State of replicas is stored by incarnation,
- * so that a restarted replica doesn't inherit that of its predecessor.
+ * Identifies one start of a replica. State of replicas is stored by
+ * incarnation, so that a restarted replica doesn't inherit that of its
+ * predecessor.
  */
 export function incarnationOf(id: string, born: number | undefined): string {
   return born === undefined ? id : `${id}@${born}`;
--- a/src/gateway/replicas/notice.ts
+++ b/src/gateway/replicas/notice.ts
@@ -13,7 +13,9 @@
 export type ReplicaNotice = {
   /** The replica is draining: it accepts no new requests. */
   readonly leaving: boolean;
-  /** The replica requests a backoff from this host; other hosts may continue. */
+  /**
+   * The replica requests a backoff from this host; other hosts may continue.
+   */
   readonly backoff: BackoffHeader;
   /** The rate limit that the replica names. */
   readonly limit: LimitHeader;
--- a/src/gateway/replicas/replica.ts
+++ b/src/gateway/replicas/replica.ts
@@ -7,7 +7,8 @@
 const MAX_PAUSE_MS = 5000;
 /**
  * After a pause the replica gets one trial call at a time; the next is sent
- * after a success or this timeout. A failed connection attempt is known by then.
+ * after a success or this timeout. A failed connection attempt is known by
+ * then.
  */
 const TRIAL_TIMEOUT_MS = 500;
 /** Consecutive failures after which a replica is paused. */
@@ -16,7 +17,7 @@
 /** Maximum number of sends that are remembered of a replica. */
 const MAX_UNCOUNTED_SENDS = 256;
 
-/** One replica with the state that this host keeps of it. */
+/** One replica with this host's state of it. */
 export class Replica {
   entry: ReplicaEntry;
   /** Calls of this host that are in flight. */
@@ -72,7 +73,7 @@
     this.#failures += severe ? FAILURES_TO_PAUSE : 1;
     if (this.#failures < FAILURES_TO_PAUSE) return;
     const doublings = Math.min(8, this.#failures - FAILURES_TO_PAUSE);
-    const pause = Math.min(MAX_PAUSE_MS, INITIAL_PAUSE_MS * 2 ** doublings);
-    this.#pausedUntil = now + pause;
+    const pauseMs = Math.min(MAX_PAUSE_MS, INITIAL_PAUSE_MS * 2 ** doublings);
+    this.#pausedUntil = now + pauseMs;
   }
 }
--- a/src/gateway/replicas/replica_gate.ts
+++ b/src/gateway/replicas/replica_gate.ts
@@ -1,7 +1,7 @@
 /**
- * Decides whether this host may send a request to a replica, from draining,
- * backoffs and limits. It is fed by the headers of responses, and checked again
- * right before each send, since a request may wait after its replica was chosen.
+ * Decides whether this host may send a request to a replica. Reads backoffs,
+ * limits and draining from the headers of responses. Checked again right before
+ * each send, since a request may wait after its replica was chosen.
  */
 import type { Milliseconds } from "../../util/units.ts";
 import type { Clock } from "../clock.ts";
@@ -44,9 +44,13 @@
 export type Availability =
   | {
     readonly type: "some";
-    /** Incarnations that must not be chosen: those given, and unavailable ones. */
+    /**
+     * Incarnations that must not be chosen: those given, and unavailable ones.
+     */
     readonly excluded: ReadonlySet<string>;
-    /** Time until the first excluded one may be used; Infinity if none will be. */
+    /**
+     * Time until the first excluded one may be used; Infinity if none will be.
+     */
     readonly nextAvailableMs: Milliseconds;
   }
   /** No replica is usable, and the first backoff ends after this time. */
@@ -99,7 +103,9 @@
     return await this.#options.limits.permit(replica);
   }
 
-  /** Returns which replicas of a service this host may use for a request now. */
+  /**
+   * Returns which replicas of a service this host may use for a request now.
+   */
   available({ service, stage, excluded }: ReplicaRequirements): Availability {
     if (this.#backoffs.size === 0) {
       return { type: "some", excluded, nextAvailableMs: Infinity };
--- a/src/gateway/replicas/replica_table.ts
+++ b/src/gateway/replicas/replica_table.ts
@@ -15,9 +15,11 @@
 /** Maximum number of draining incarnations reported although not listed. */
 const MAX_UNLISTED_DRAINING = 200;
 
-/** How a listing is adopted of a store that has just recovered. */
+/** How to adopt a listing of a store that has just recovered. */
 export type AdoptOptions = {
-  /** Keep missing replicas that aren't draining: the listing may lack live ones. */
+  /**
+   * Keep missing replicas that aren't draining: the listing may lack live ones.
+   */
   readonly keepMissing?: boolean;
   /**
    * Exclude replicas that were removed in an earlier era, since the store may
@@ -51,11 +53,17 @@
   #byIncarnation = new Map<string, Replica>();
   #byService = new Map<string, Replica[]>();
   readonly #history = new ListingHistory();
-  /** Incarnations that were reported as draining; later listings don't undo it. */
+  /**
+   * Incarnations that were reported as draining; later listings don't undo it.
+   */
   readonly #draining = new Set<string>();
-  /** Incarnations that are no longer listed, with the position of the removal. */
+  /**
+   * Incarnations that are no longer listed, with the position of the removal.
+   */
   readonly #removedAt = new Map<string, Position>();
-  /** Whether replicas were kept that the listing lacks, or listed ones excluded. */
+  /**
+   * Whether replicas were kept that the listing lacks, or listed ones excluded.
+   */
   #differsFromListing = false;
 
   /** Position of the newest listing; -1 before the first. */
@@ -84,15 +92,14 @@
   /** Adopts a full listing; returns undefined if it is older than the table. */
   adopt(
     listing: ReplicaListing,
-    { keepMissing = false, excludeRemoved: leaveOutGone = false }:
-      AdoptOptions = {},
+    { keepMissing = false, excludeRemoved = false }: AdoptOptions = {},
   ): ListingChange | undefined {
     if (listing.revision < this.#revision) return undefined;
     this.#revision = listing.revision;
     const before = this.#byIncarnation;
     const listed = this.#withoutOlderStarts(listing.entries)
       .map((entry) => this.#withDraining(entry));
-    const entries = leaveOutGone
+    const entries = excludeRemoved
       ? listed.filter((entry) => !this.#wasRemovedInEarlierEra(entry))
       : listed;
     const change = diffListing(before, entries, keepMissing);
@@ -121,8 +128,8 @@
   }
 
   /**
-   * Applies a delta of another host. Returns "older" if this table is newer, and
-   * "gap" if the delta doesn't lead to the other host's listing.
+   * Applies a delta of another host. Returns "older" if this table is newer,
+   * and "gap" if the delta doesn't lead to the other host's listing.
    */
   applyDelta(delta: ListingDelta): ListingChange | "older" | "gap" {
     if (delta.revision < this.#revision) return "older";
@@ -168,7 +175,9 @@
     return [...entries.values()];
   }
 
-  /** Whether the entry was removed in an earlier era than that of the listing. */
+  /**
+   * Whether the entry was removed in an earlier era than that of the listing.
+   */
   #wasRemovedInEarlierEra({ incarnation }: ReplicaEntry): boolean {
     const removedAt = this.#removedAt.get(incarnation);
     return removedAt !== undefined && eraOf(removedAt) < eraOf(this.#revision);
@@ -214,7 +223,7 @@
   }
 
   /**
-   * Draining incarnations to report to other hosts. It includes recent ones that
+   * Draining incarnations to report to other hosts. Includes recent ones that
    * are no longer listed, since another host may adopt an older listing.
    */
   draining(): string[] {
--- a/test/gateway/replicas/backoffs_test.ts
+++ b/test/gateway/replicas/backoffs_test.ts
@@ -1,4 +1,6 @@
-/** Backoffs requested by replicas: duration, overlap, trial requests, jitter. */
+/**
+ * Backoffs requested by replicas: duration, overlap, trial requests, jitter.
+ */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import * as fc from "fast-check";
--- a/test/gateway/replicas/draining_fleet_test.ts
+++ b/test/gateway/replicas/draining_fleet_test.ts
@@ -22,7 +22,9 @@
   replicas.openReplicasOf("s").map(({ entry }) => entry.incarnation).sort()
     .join();
 
-/** A formed fleet with replicas "a" and "b", after the store became unreachable. */
+/**
+ * A formed fleet with replicas "a" and "b", after the store became unreachable.
+ */
 async function formedFleet(size: number, seed: number): Promise<StateFleet> {
   const fleet = new StateFleet(size, seed);
   for (const id of ["a", "b"]) fleet.store.putReplica(replicaEntry(id));
--- a/test/gateway/replicas/listing_history_test.ts
+++ b/test/gateway/replicas/listing_history_test.ts
@@ -1,4 +1,6 @@
-/** Deltas of listings: a follower reaches the reader's state or detects a gap. */
+/**
+ * Deltas of listings: a follower reaches the reader's state or detects a gap.
+ */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import fc from "fast-check";
--- a/test/gateway/replicas/replica_table_test.ts
+++ b/test/gateway/replicas/replica_table_test.ts
@@ -161,7 +161,7 @@
   assert.equal(table.get("b"), undefined);
 });
 
-test("with leaveOutGone, a replica removed in an earlier era is excluded", () => {
+test("with excludeRemoved, a replica removed in an earlier era is excluded", () => {
   const table = new ReplicaTable();
   table.adopt({ revision: positionOf(1, 5), entries: [entry("a")] });
   table.adopt({ revision: positionOf(1, 6), entries: [] });
