--- a/src/gateway/crashes/crash_messages.ts
+++ b/src/gateway/crashes/crash_messages.ts
@@ -1,4 +1,6 @@
-/** Messages in which hosts report crashes, over links and in rows of the store. */
+/**
+ * Messages in which hosts report crashes, over links and in rows of the store.
+ */
 import * as z from "zod";
 import type { Milliseconds } from "../../util/units.ts";
 import type { CrashUpdate } from "./model.ts";
@@ -27,7 +29,7 @@
 
 /** Encodes an update, with ages instead of times. */
 export function encodeCrashes(
-  { records, clearances: acquittals }: CrashUpdate,
+  { records, clearances }: CrashUpdate,
   now: Milliseconds,
 ): CrashesMessage {
   const agoMs = (at: Milliseconds) => Math.max(0, Math.round(now - at));
@@ -37,14 +39,16 @@
       ...record,
       agoMs: agoMs(at),
     })),
-    answered: acquittals.map(({ at, fingerprint }) => ({
+    answered: clearances.map(({ at, fingerprint }) => ({
       fingerprint,
       agoMs: agoMs(at),
     })),
   };
 }
 
-/** Decodes a message that was made `ageMs` ago, with times by this host's clock. */
+/**
+ * Decodes a message that was made `ageMs` ago, with times by this host's clock.
+ */
 export function decodeCrashes(
   { crashes, answered }: CrashesMessage,
   now: Milliseconds,
--- a/src/gateway/crashes/crash_table.ts
+++ b/src/gateway/crashes/crash_table.ts
@@ -5,9 +5,9 @@
  *
  * All requests that ran at a replica share its crash. The request with the most
  * crashes is quarantined first, and its crashes no longer count for the others.
- * Replicas that crash simultaneously are assumed to have a common cause, so their
- * crashes don't count for requests that ran at only some of them. A complete
- * response clears a request of its earlier crashes.
+ * Replicas that crash simultaneously are assumed to have a common cause, so
+ * their crashes don't count for requests that ran at only some of them. A
+ * complete response clears a request of its earlier crashes.
  */
 import type { Milliseconds } from "../../util/units.ts";
 import type {
@@ -20,8 +20,8 @@
 
 /**
  * Additional crashes before a request is quarantined that ran together with
- * another one each time. Until then either may be the cause, and a retry of only
- * one of them may show which.
+ * another one each time. Until then either may be the cause, and a retry of
+ * only one of them may show which.
  */
 const EXTRA_CRASHES_IF_AMBIGUOUS = 2;
 /** Replicas that crash within this time of each other crash simultaneously. */
@@ -83,11 +83,11 @@
   merge(update: CrashUpdate, now: Milliseconds): CrashUpdate {
     this.#removeExpired(now);
     const records = update.records.filter((record) => this.#add(record, now));
-    const acquittals = update.clearances.filter((clearance) =>
+    const clearances = update.clearances.filter((clearance) =>
       this.#clear(clearance)
     );
-    if (records.length + acquittals.length > 0) this.#updateQuarantines();
-    return { records, clearances: acquittals };
+    if (records.length + clearances.length > 0) this.#updateQuarantines();
+    return { records, clearances };
   }
 
   /** The full table, for a host that has just connected. */
@@ -121,10 +121,10 @@
         at,
       }))
     );
-    const acquittals = entries.flatMap(([fingerprint, { answeredAt }]) =>
+    const clearances = entries.flatMap(([fingerprint, { answeredAt }]) =>
       answeredAt === undefined ? [] : [{ fingerprint, at: answeredAt }]
     );
-    return { records, clearances: acquittals };
+    return { records, clearances };
   }
 
   #add(record: CrashRecord, now: Milliseconds): boolean {
@@ -141,7 +141,10 @@
     return this.#suspects.has(fingerprint);
   }
 
-  /** Evicts the oldest of the requests with the fewest crashes, but not `newest`. */
+  /**
+   * Evicts the oldest of the requests with the fewest crashes, but not
+   * `newest`.
+   */
   #evict(newest: string): void {
     let evicted: string | undefined;
     let minCrashes = Infinity;
@@ -196,12 +199,12 @@
   }
 
   #updateQuarantines(): void {
-    const { crashThreshold: minCrashes, ttlMs: retentionMs } = this.#rule;
-    const remaining = this.#candidates(minCrashes);
+    const { crashThreshold, ttlMs } = this.#rule;
+    const remaining = this.#candidates(crashThreshold);
     const quarantines = new Map<string, Quarantine>();
     const undecided: (readonly string[])[] = [];
     for (;;) {
-      const worst = worstOf(remaining, minCrashes);
+      const worst = worstOf(remaining, crashThreshold);
       if (!worst) break;
       const [fingerprint, incarnations] = worst;
       remaining.delete(fingerprint);
@@ -210,14 +213,14 @@
         incarnations.every((incarnation) => crashes.includes(incarnation))
       );
       const threshold = isAccompanied
-        ? minCrashes + EXTRA_CRASHES_IF_AMBIGUOUS
-        : minCrashes;
+        ? crashThreshold + EXTRA_CRASHES_IF_AMBIGUOUS
+        : crashThreshold;
       if (incarnations.length < threshold) {
         undecided.push(incarnations);
         continue;
       }
       const times = this.#suspects.get(fingerprint)?.crashes.values() ?? [];
-      const until = Math.max(...times) + retentionMs;
+      const until = Math.max(...times) + ttlMs;
       quarantines.set(fingerprint, { incarnations, until });
       for (const [other, crashes] of remaining) {
         const unexplained = crashes.filter((incarnation) =>
@@ -255,7 +258,9 @@
   return false;
 }
 
-/** The request with the most crashes; ties are broken the same way at all hosts. */
+/**
+ * The request with the most crashes; ties are broken the same way at all hosts.
+ */
 function worstOf(
   requests: ReadonlyMap<string, readonly string[]>,
   minCrashes: number,
--- a/src/gateway/crashes/crash_watch.ts
+++ b/src/gateway/crashes/crash_watch.ts
@@ -2,7 +2,8 @@
  * Detects crashes of replicas and the requests that ran there. A truncated
  * response alone isn't a crash, since connections also break for other reasons.
  * A replica has crashed if its address refuses connections right afterwards, if
- * it is removed from the listing without draining, or if another host reports it.
+ * it is removed from the listing without draining, or if another host reports
+ * it.
  */
 import type { Milliseconds } from "../../util/units.ts";
 import type { Clock } from "../clock.ts";
@@ -21,12 +22,15 @@
 const REFUSED_WINDOW_MS = 1000;
 /**
  * A removal from the listing explains only sends that broke within this time
- * before it. It covers three missed heartbeats and the next read of the listing.
+ * before it. It covers three missed heartbeats and the next read of the
+ * listing.
  */
 const REMOVED_WINDOW_MS = 6000;
 /** Bounds what a host writes into its row, which is limited to 64 KB. */
 const WORST_BOUNDS = { minCount: 2, limit: 50 };
-/** Maximum number of replicas with stored broken sends, and of sends of each. */
+/**
+ * Maximum number of replicas with stored broken sends, and of sends of each.
+ */
 const MAX_REPLICAS = 300;
 const MAX_BROKEN_SENDS = 100;
 
@@ -71,8 +75,8 @@
 };
 
 /**
- * Called with updates that are new to this host; `from` is the sender, undefined
- * when this host detected the crash.
+ * Called with updates that are new to this host; `from` is the sender,
+ * undefined when this host detected the crash.
  */
 export type CrashListener = (update: CrashUpdate, from: unknown) => void;
 
@@ -138,14 +142,14 @@
   noteAnswered(fingerprint: () => string): void {
     if (this.#table.size === 0 || !this.#table.has(fingerprint())) return;
     const at = this.#options.clock.now();
-    const acquittals = [{ fingerprint: fingerprint(), at }];
-    this.merge({ records: [], clearances: acquittals }, undefined);
+    const clearances = [{ fingerprint: fingerprint(), at }];
+    this.merge({ records: [], clearances }, undefined);
   }
 
   /** Records that a send to the replica ended without a complete response. */
   noteBrokenSend(
     entry: ReplicaEntry,
-    { fingerprint, endedByReplica: isByReplica }: BrokenSendDetails,
+    { fingerprint, endedByReplica }: BrokenSendDetails,
   ): void {
     if (this.#options.isDraining(entry)) return;
     const now = this.#options.clock.now();
@@ -155,14 +159,14 @@
     watched.brokenSends.push({
       fingerprint: fingerprint(),
       at: now,
-      endedByReplica: isByReplica,
+      endedByReplica,
       hasListened: false,
     });
     const sinceCrash = now - (watched.crashedAt ?? -Infinity);
     if (sinceCrash <= REFUSED_WINDOW_MS) {
       return this.#noteCrash(entry.incarnation, "told");
     }
-    if (isByReplica) watched.probing ??= this.#probe(entry, watched);
+    if (endedByReplica) watched.probing ??= this.#probe(entry, watched);
   }
 
   /** Records that the replica's address refused a connection. */
@@ -178,7 +182,9 @@
     this.#watched.delete(incarnation);
   }
 
-  /** Merges an update of another host, or of this host if `from` is undefined. */
+  /**
+   * Merges an update of another host, or of this host if `from` is undefined.
+   */
   merge(update: CrashUpdate, from: unknown): void {
     const before = this.#table.quarantines;
     const changes = this.#table.merge(update, this.#options.clock.now());
@@ -274,11 +280,13 @@
   }
 }
 
-/** Whether the replica's side ended the send and no probe found it listening. */
+/**
+ * Whether the replica's side ended the send and no probe found it listening.
+ */
 function isUnexplained(
-  { endedByReplica: isByReplica, hasListened }: BrokenSend,
+  { endedByReplica, hasListened }: BrokenSend,
 ): boolean {
-  return isByReplica && !hasListened;
+  return endedByReplica && !hasListened;
 }
 
 /** Whether the send may have broken by the detected crash. */
--- a/src/gateway/crashes/fingerprint.ts
+++ b/src/gateway/crashes/fingerprint.ts
@@ -4,7 +4,9 @@
 /** Hex digits of a fingerprint: 128 bits, to make collisions negligible. */
 const DIGITS = 32;
 
-/** The parts of a request that make it the same request; ids differ per retry. */
+/**
+ * The parts of a request that make it the same request; ids differ per retry.
+ */
 export type FingerprintInput = {
   readonly method: string;
   readonly host: string;
--- a/test/gateway/crashes/crash_fleet_test.ts
+++ b/test/gateway/crashes/crash_fleet_test.ts
@@ -8,7 +8,10 @@
 import { type FleetHost, StateFleet } from "../state/state_fleet.ts";
 
 const FORMED_MS = 10_000;
-/** Maximum time for an update to reach all hosts: a probe, batching and three hops. */
+/**
+ * Maximum time for an update to reach all hosts: a probe, batching and three
+ * hops.
+ */
 const PROPAGATED_MS = 100;
 /** Maximum time for an update to reach hosts over rows of the store. */
 const ROWS_MS = 7000;
--- a/test/gateway/crashes/crash_table_test.ts
+++ b/test/gateway/crashes/crash_table_test.ts
@@ -20,9 +20,9 @@
 
 function updateOf(
   records: readonly CrashRecord[],
-  acquittals: readonly Clearance[] = [],
+  clearances: readonly Clearance[] = [],
 ): CrashUpdate {
-  return { records, clearances: acquittals };
+  return { records, clearances };
 }
 
 /** The requests that are quarantined after these crashes. */
@@ -37,7 +37,9 @@
   return (incarnation.codePointAt(0) ?? 0) * 100;
 }
 
-/** Crashes of several replicas, one after another, that ran the same requests. */
+/**
+ * Crashes of several replicas, one after another, that ran the same requests.
+ */
 function crashes(
   incarnations: readonly string[],
   ...fingerprints: readonly string[]
@@ -169,13 +171,13 @@
   incarnation: fc.constantFrom("a", "b", "c", "d", "e", "f"),
   at: fc.integer({ min: 0, max: 5000 }),
 });
-const Answer = fc.record({
+const ClearanceArbitrary = fc.record({
   fingerprint: Fingerprint,
   at: fc.integer({ min: 0, max: 5000 }),
 });
 const Update = fc.record({
   records: fc.array(Record, { maxLength: 6 }),
-  acquittals: fc.array(Answer, { maxLength: 1 }),
+  clearances: fc.array(ClearanceArbitrary, { maxLength: 1 }),
 });
 
 test("hosts that receive the same crashes in any order, and more than once, agree", () => {
@@ -186,7 +188,7 @@
       (received, picks) => {
         // Each crash has a single time; only the order of updates is random.
         const times = new Map<string, number>();
-        const updates = received.map(({ records, acquittals }) =>
+        const updates = received.map(({ records, clearances }) =>
           updateOf(
             records.map((record) => {
               const key = `${record.fingerprint} ${record.incarnation}`;
@@ -194,18 +196,18 @@
               times.set(key, at);
               return { ...record, at };
             }),
-            acquittals,
+            clearances,
           )
         );
         // A clearance has no effect at hosts without a record of the request.
         const first = updateOf(updates.flatMap((update) => update.records));
-        const answers = updates.flatMap((update) => update.clearances);
+        const clearances = updates.flatMap((update) => update.clearances);
         const shuffled = [...updates].sort((a, b) =>
           (picks[updates.indexOf(a)] ?? 0) - (picks[updates.indexOf(b)] ?? 0)
         );
         const here = new CrashTable(RULE);
         const there = new CrashTable(RULE);
-        here.merge(updateOf(first.records, answers), NOW);
+        here.merge(updateOf(first.records, clearances), NOW);
         for (const update of [...shuffled, ...updates]) {
           there.merge(update, NOW);
         }
--- a/test/gateway/crashes/crash_watch_test.ts
+++ b/test/gateway/crashes/crash_watch_test.ts
@@ -26,10 +26,10 @@
       });
     },
   });
-  const breaks = (name: string, isByReplica = true, entry = ENTRY) =>
+  const breaks = (name: string, endedByReplica = true, entry = ENTRY) =>
     watch.noteBrokenSend(entry, {
       fingerprint: fingerprintOf(name),
-      endedByReplica: isByReplica,
+      endedByReplica,
     });
   const crashed = () =>
     watch.all().records
@@ -78,10 +78,10 @@
 
 test("a draining replica that ends has not crashed", async () => {
   const { time, probes, watch, breaks, crashed } = start(() => "refused");
-  const leaving = { ...ENTRY, leaving: true };
-  breaks("one", true, leaving);
+  const draining = { ...ENTRY, leaving: true };
+  breaks("one", true, draining);
   await time.runTo(10);
-  watch.noteRemoved(leaving);
+  watch.noteRemoved(draining);
   assert.deepEqual([probes.length, crashed()], [0, []]);
 });
 
--- a/test/gateway/crashes/crashing_request_test.ts
+++ b/test/gateway/crashes/crashing_request_test.ts
@@ -37,7 +37,10 @@
   };
 }
 
-/** Removes crashed replicas from the listing, as the platform does after some seconds. */
+/**
+ * Removes crashed replicas from the listing, as the platform does after some
+ * seconds.
+ */
 function unlistCrashed({ context: { replicas }, replicas: all }: Rig): void {
   const crashed = all.filter((replica) => replica.requests.some(isCrash));
   const addresses = new Set(crashed.map((replica) => replica.address));
