--- a/src/gateway/limits/allowance.ts
+++ b/src/gateway/limits/allowance.ts
@@ -3,9 +3,10 @@
 import type { Allowance } from "../quota/bounds.ts";
 
 /**
- * Approximate length of the windows in which permits are granted, chosen so that
- * rates below one request per second yield whole requests. Shorter windows allow
- * smaller bursts; in longer ones, sends from before the limit count for longer.
+ * Approximate length of the windows in which permits are granted, chosen so
+ * that rates below one request per second yield whole requests. Shorter windows
+ * allow smaller bursts; in longer ones, sends from before the limit count for
+ * longer.
  */
 const WINDOW_S = 4;
 /**
@@ -26,16 +27,16 @@
 export const PAST_SENDS_WINDOW_MS: Milliseconds = 1500;
 /**
  * Units counted for each such send. Counting only a part keeps all sends of a
- * limit's first window within 1.5 times its allowance, and doesn't leave a replica
- * idle that was at 1.5 times its limit.
+ * limit's first window within 1.5 times its allowance, and doesn't leave a
+ * replica idle that was at 1.5 times its limit.
  */
 export const PAST_SEND_UNITS = 2 / 3;
 
 /**
- * Returns the requests that an owner chosen by `share` of the hosts permits in a
- * window; on average exactly its share of the rate. Below one request per window
- * the window grows instead, so that hosts that are partitioned from most others
- * can still use the replica.
+ * Returns the requests that an owner chosen by `share` of the hosts permits in
+ * a window; on average exactly its share of the rate. Below one request per
+ * window the window grows instead, so that hosts that are partitioned from most
+ * others can still use the replica.
  */
 export function limitAllowance(perSecond: number, share: number): Allowance {
   const rate = Math.max(MIN_PER_SECOND, perSecond) * share;
--- a/src/gateway/limits/limit_messages.ts
+++ b/src/gateway/limits/limit_messages.ts
@@ -7,7 +7,9 @@
   incarnation: z.string(),
   /** Requests per second; absent when the limit has ended. */
   perSecond: z.number().min(0).exactOptional(),
-  /** Age of the record; a duration, since hosts' clocks are not synchronized. */
+  /**
+   * Age of the record; a duration, since hosts' clocks are not synchronized.
+   */
   agoMs: z.number(),
 });
 
--- a/src/gateway/limits/limit_table.ts
+++ b/src/gateway/limits/limit_table.ts
@@ -1,7 +1,7 @@
 /**
- * The limits that replicas have named. Responses and messages of other hosts may
- * arrive out of order, so a limit starts or falls at once, and rises or ends only
- * by a response that was certainly made after the limit was named.
+ * The limits that replicas have named. Responses and messages of other hosts
+ * may arrive out of order, so a limit starts or falls at once, and rises or
+ * ends only by a response that was certainly made after the limit was named.
  */
 import type { Milliseconds } from "../../util/units.ts";
 import { evictOldest } from "../../util/evict_oldest.ts";
--- a/src/gateway/limits/model.ts
+++ b/src/gateway/limits/model.ts
@@ -13,8 +13,12 @@
 export type LimitRecord = {
   /** The incarnation of the replica. */
   readonly incarnation: string;
-  /** Requests per second, for all hosts together; absent when the limit ended. */
+  /**
+   * Requests per second, for all hosts together; absent when the limit ended.
+   */
   readonly perSecond?: number;
-  /** When a host received the response that reported it, by this host's clock. */
+  /**
+   * When a host received the response that reported it, by this host's clock.
+   */
   readonly at: Milliseconds;
 };
--- a/src/gateway/limits/replica_limits.ts
+++ b/src/gateway/limits/replica_limits.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps the requests of all hosts together within the limits that replicas name.
- * Each send to a replica needs a permit. If the replica has a limit, one of the
- * hosts, its owner, grants the permits and counts them for all hosts.
+ * Keeps the requests of all hosts together within the limits that replicas
+ * name. Each send to a replica needs a permit. If the replica has a limit, one
+ * of the hosts, its owner, grants the permits and counts them for all hosts.
  */
 import type { HostId } from "../../util/ids.ts";
 import type { Milliseconds } from "../../util/units.ts";
@@ -55,8 +55,8 @@
   | { readonly type: "refused"; readonly retryAfterMs: Milliseconds };
 
 /**
- * Called with records that are new to this host; `from` is the sender, undefined
- * when this host observed them.
+ * Called with records that are new to this host; `from` is the sender,
+ * undefined when this host observed them.
  */
 export type LimitListener = (
   updates: readonly LimitRecord[],
@@ -136,7 +136,9 @@
     return this.#table.all();
   }
 
-  /** Handles the headers of a response to a request that was sent at `sentAt`. */
+  /**
+   * Handles the headers of a response to a request that was sent at `sentAt`.
+   */
   observe(
     incarnation: string,
     header: LimitHeader,
@@ -203,7 +205,9 @@
     return { type: "refused", retryAfterMs };
   }
 
-  /** Limits the wait for an owner's response; releases a permit that comes late. */
+  /**
+   * Limits the wait for an owner's response; releases a permit that comes late.
+   */
   #withTimeout(outcome: Promise<QuotaOutcome>): Promise<QuotaOutcome> {
     const { clock } = this.#options;
     return new Promise((resolve) => {
@@ -221,8 +225,8 @@
   }
 
   /**
-   * Permits a send to a replica without a limit. The send is remembered, since it
-   * counts against a limit that the replica names soon after.
+   * Permits a send to a replica without a limit. The send is remembered, since
+   * it counts against a limit that the replica names soon after.
    */
   #freePermit(replica: Replica): SendPermit {
     const { clock } = this.#options;
@@ -268,7 +272,7 @@
   }
 }
 
-/** The quota request for one send to a replica; it never waits in a queue. */
+/** The quota request for one send to a replica; granted or refused at once. */
 function quotaRequestOf(incarnation: string, perSecond: number): QuotaRequest {
   return {
     customer: incarnation,
--- a/test/gateway/limits/allowance_test.ts
+++ b/test/gateway/limits/allowance_test.ts
@@ -35,7 +35,7 @@
   });
   fc.assert(fc.property(anyRate, sizes, (perSecond, sides) => {
     const hosts = sides.reduce((sum, size) => sum + size, 0);
-    // A span may hold the end of one window and the start of the next.
+    // A span may contain the end of one window and the start of the next.
     const total = sides.reduce((sum, size) => {
       const { units, windowMs } = limitAllowance(perSecond, size / hosts);
       return sum + (windowMs >= SPAN_MS ? units : units * SPAN_MS / windowMs);
--- a/test/gateway/limits/limit_fleet_test.ts
+++ b/test/gateway/limits/limit_fleet_test.ts
@@ -1,6 +1,7 @@
 /**
- * All hosts together keep to a replica's limit, also during partitions, pauses
- * and restarts. Requests are counted at the replica, in virtual time.
+ * All hosts together keep to a replica's limit, also during partitions,
+ * suspensions and restarts. Requests are counted at the replica, in virtual
+ * time.
  */
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -114,7 +115,9 @@
 const LAST_FAULT_MS = 70_000;
 const LONG_END_MS = 80_000;
 
-/** Partitions halls and hosts, suspends hosts and starts new ones, at random. */
+/**
+ * Partitions halls and hosts, suspends hosts and starts new ones, at random.
+ */
 function injectFaults(fleet: LimitFleet, random: RandomGenerator): void {
   const { fleet: { hosts } } = fleet;
   const injectFault = () => {
