--- a/src/gateway/quota/member.ts
+++ b/src/gateway/quota/member.ts
@@ -102,8 +102,8 @@
   }
 
   /**
-   * Chooses the owner of each shard again. To be called periodically: hosts
-   * come and go, and suspects expire.
+   * Chooses the owner of each shard again. Call periodically: hosts join and
+   * leave the fleet, and suspects expire.
    */
   refresh(): void {
     for (let shard = 0; shard < SHARD_COUNT; shard++) {
@@ -284,9 +284,9 @@
 
   /** The report of these shards, with what other owners granted from them. */
   #membership(shards: readonly number[], run: string): MemberMessage {
-    const { clock, retentionMs: memoryMs } = this.#options;
+    const { clock, retentionMs } = this.#options;
     const now = clock.now();
-    const oldest = now - memoryMs();
+    const oldest = now - retentionMs();
     const usage = this.#acquisitions.reportTo({ run, shards }, { oldest, now });
     const upMs: Milliseconds = now - this.#startedAt;
     return { type: "member", shards, upMs, usage };
@@ -321,15 +321,14 @@
 
   #noteAcquisition(
     request: QuotaRequest,
-    owner: HostId,
+    from: HostId,
     afterMs: Milliseconds,
   ): Acquisition {
-    const { clock, self, localOwner: own, retentionMs: memoryMs } =
-      this.#options;
-    const run = owner === self.id ? own.run : this.#links.get(owner)?.run;
+    const { clock, self, localOwner, retentionMs } = this.#options;
+    const run = from === self.id ? localOwner.run : this.#links.get(from)?.run;
     const now = clock.now();
     const entry = { request, at: now + afterMs, knownTo: new Set([run ?? ""]) };
-    this.#acquisitions.add(entry, now - memoryMs());
+    this.#acquisitions.add(entry, now - retentionMs());
     return entry;
   }
 
--- a/src/gateway/quota/messages.ts
+++ b/src/gateway/quota/messages.ts
@@ -26,7 +26,7 @@
   usage: z.array(Usage).readonly(),
 });
 
-const Take = z.object({
+const Acquire = z.object({
   type: z.literal("take"),
   id: z.string(),
   customer: z.string(),
@@ -38,7 +38,7 @@
   mostWaitMs: z.number(),
 });
 
-const GiveBack = z.object({
+const Release = z.object({
   type: z.literal("give-back"),
   customer: z.string(),
   units: z.number().min(0),
@@ -75,8 +75,8 @@
 /** Schema of the messages from a host to an owner. */
 export const MemberMessageSchema = z.discriminatedUnion("type", [
   Member,
-  Take,
-  GiveBack,
+  Acquire,
+  Release,
   Ping,
 ]);
 /** A message from a host to an owner. */
--- a/test/gateway/quota/quota_member_test.ts
+++ b/test/gateway/quota/quota_member_test.ts
@@ -25,7 +25,7 @@
   const member = new QuotaMember({
     self: { id: "self", hall: "h" },
     clock: { ...systemClock, now: () => 20_000 },
-    localOwner: localOwner,
+    localOwner,
     hosts: () => hosts,
     retentionMs: () => BOUNDS.windowMs,
     path: LinkPath.quota,
