--- a/src/gateway/peers/directory.ts
+++ b/src/gateway/peers/directory.ts
@@ -1,6 +1,5 @@
 /**
- * The fleet's hosts that this one has learned of, from the store and from
- * peers.
+ * The fleet's hosts that the store or peers have listed.
  */
 import type { HostId } from "../../util/ids.ts";
 import type { Milliseconds } from "../../util/units.ts";
@@ -9,8 +8,8 @@
 /**
  * A host that has not been listed for this time is removed, but only when the
  * store has been read and does not list it. During a network partition, a host
- * cannot tell removed hosts from unreachable ones, and shares of what all hosts
- * divide (retries, quotas) must not grow on either side.
+ * cannot tell removed hosts from unreachable ones, and the shares of what all
+ * hosts divide (retries, quotas) must not grow on either side.
  */
 const ENTRY_TTL_MS = 60_000;
 
--- a/src/gateway/peers/link.ts
+++ b/src/gateway/peers/link.ts
@@ -229,8 +229,8 @@
 
   /** Reports the timeout, unless the link became idle and has time left. */
   #checkTimeout(): void {
-    const silentMs = this.#clock.now() - (this.#receivedAt ?? -Infinity);
-    const leftMs = this.#times.timeoutMs - silentMs;
+    const sinceReceivedMs = this.#clock.now() - (this.#receivedAt ?? -Infinity);
+    const leftMs = this.#times.timeoutMs - sinceReceivedMs;
     const isBusy = this.#clock.now() < this.#busyUntil;
     if (isBusy || leftMs <= 0) return this.#callbacks.timedOut();
     this.#scheduleTimeout(leftMs);
--- a/src/gateway/peers/peer_loop.ts
+++ b/src/gateway/peers/peer_loop.ts
@@ -149,11 +149,11 @@
 
 /**
  * While the store does not respond, polls a random peer every
- * {@link POLL_INTERVAL_MS}. Does not wait for earlier peers to respond: they may
- * be unreachable, or may send a large response.
+ * {@link POLL_INTERVAL_MS}. Does not wait for earlier peers to respond: they
+ * may be unreachable, or may send a large response.
  */
 async function pollPeers(options: PeerLoopOptions): Promise<void> {
-  const { context, directory, synchronizer, peerClient: questions } = options;
+  const { context, directory, synchronizer, peerClient } = options;
   const { clock, random } = context;
   let pending = 0;
   for (;;) {
@@ -172,6 +172,8 @@
     const address = addresses[Math.floor(random() * addresses.length)];
     if (address === undefined) continue;
     pending += 1;
-    void questions.request(address, PeerSubject.state).then(() => pending -= 1);
+    void peerClient.request(address, PeerSubject.state).then(() =>
+      pending -= 1
+    );
   }
 }
--- a/src/gateway/peers/remote_clock.ts
+++ b/src/gateway/peers/remote_clock.ts
@@ -22,9 +22,9 @@
 /**
  * Tracks a lower bound of the offset to another host's clock. A message may be
  * buffered for seconds and either host may be stalled, so the time at which a
- * message arrives is no measure. But a message that this host sent at `sentAt`
- * was received later: the remote clock showed `heardAt` no earlier than
- * `sentAt`.
+ * message arrives does not give the offset. But a message that this host sent
+ * at `sentAt` was received later: the remote clock showed `heardAt` no earlier
+ * than `sentAt`.
  */
 export class RemoteClock {
   /** Lower bound of this host's clock minus the remote clock. */
--- a/src/gateway/peers/server.ts
+++ b/src/gateway/peers/server.ts
@@ -80,9 +80,11 @@
 ): PeerState {
   const { routes, replicas } = context;
   const config = routes.version > request.version ? routes.config : undefined;
-  const newer = replicas.revision > request.revision;
+  const isNewer = replicas.revision > request.revision;
   const { revision } = replicas;
-  const listing = newer ? { revision, entries: replicas.entries() } : undefined;
+  const listing = isNewer
+    ? { revision, entries: replicas.entries() }
+    : undefined;
   return {
     ...(config ? { config } : {}),
     ...(listing ? { listing } : {}),
--- a/src/gateway/peers/update_broadcaster.ts
+++ b/src/gateway/peers/update_broadcaster.ts
@@ -48,8 +48,8 @@
   broadcast(update: Update, from: unknown): void {
     this.#pending.push({ update, from });
     if (this.#pending.length > 1) return;
-    const { clock, batchMs: gatherMs } = this.#options;
-    const waitMs = this.#flushedAt + gatherMs - clock.now();
+    const { clock, batchMs } = this.#options;
+    const waitMs = this.#flushedAt + batchMs - clock.now();
     clock.after(Math.max(0, waitMs), () => this.#flush());
   }
 
--- a/test/gateway/peers/directory_test.ts
+++ b/test/gateway/peers/directory_test.ts
@@ -24,7 +24,7 @@
   assert.equal(directory.entries()[0]?.address, "127.0.0.1:9");
 });
 
-test("hosts are removed when reported as gone, or when the store no longer lists them", () => {
+test("hosts are removed when a peer reports them as expired, or when the store no longer lists them", () => {
   const directory = new HostDirectory(host("self"), []);
   directory.add([host("a"), host("bb"), host("ccc")], 0);
   directory.remove(["bb"]);
--- a/test/gateway/peers/link_test.ts
+++ b/test/gateway/peers/link_test.ts
@@ -84,10 +84,10 @@
   return { clocks, closed, lines, opened, reply, end };
 }
 
-test("an opener that has sent a message closes the link within a second of silence", async () => {
+test("an opener that has sent a message closes the link if nothing arrives for 900 ms", async () => {
   const link = await startLink();
   link.clocks.opener.advance(2000);
-  link.opened.send({ type: "ask" });
+  link.opened.send({ type: "request" });
   link.clocks.opener.advance(899);
   assert.deepEqual(link.closed, []);
   link.clocks.opener.advance(1);
@@ -95,7 +95,7 @@
   link.end();
 });
 
-test("an idle opener closes the link after three seconds of silence", async () => {
+test("an idle opener closes the link if nothing arrives for 3.1 s", async () => {
   const link = await startLink();
   link.clocks.opener.advance(3099);
   assert.deepEqual(link.closed, []);
@@ -106,7 +106,7 @@
 
 test("a link that becomes idle after a reply uses the idle timeout", async () => {
   const link = await startLink();
-  link.opened.send({ type: "ask" });
+  link.opened.send({ type: "request" });
   while (link.lines.length < 1) await new Promise((go) => setTimeout(go, 5));
   link.clocks.opener.advance(800);
   link.reply({ type: "grant" });
@@ -130,13 +130,13 @@
     return count;
   };
   assert.ok(pings() <= 1);
-  link.opened.send({ type: "ask" });
+  link.opened.send({ type: "request" });
   while (link.lines.length < 1) await new Promise((go) => setTimeout(go, 5));
   assert.ok(pings() >= 3);
   link.end();
 });
 
-test("an acceptor closes the link after three seconds of silence", async () => {
+test("an acceptor closes the link if nothing arrives for 3.1 s", async () => {
   const link = await startLink();
   link.clocks.acceptor.advance(3099);
   assert.deepEqual(link.closed, []);
@@ -148,10 +148,10 @@
 test("messages pass in both directions, heartbeats are not reported", async () => {
   const link = await startLink();
   link.clocks.acceptor.advance(300);
-  link.opened.send({ type: "ask" });
+  link.opened.send({ type: "request" });
   while (link.lines.length < 1) await new Promise((go) => setTimeout(go, 5));
   link.reply({ type: "grant" });
   while (link.lines.length < 2) await new Promise((go) => setTimeout(go, 5));
-  assert.deepEqual(link.lines, ['{"type":"ask"}', '{"type":"grant"}']);
+  assert.deepEqual(link.lines, ['{"type":"request"}', '{"type":"grant"}']);
   link.end();
 });
--- a/test/gateway/peers/remote_clock_test.ts
+++ b/test/gateway/peers/remote_clock_test.ts
@@ -24,31 +24,31 @@
 
 const Delay = fc.integer({ min: 0, max: 5000 });
 
-test("no delay, pause or drift makes a converted time too late", () => {
+test("delays, idle intervals and drift never make a converted time too late", () => {
   const world = fc.record({
     ahead: fc.integer({ min: -1e6, max: 1e6 }),
     /** In ppm. */
     drift: fc.integer({ min: -200, max: 200 }),
     echoes: fc.array(
-      fc.record({ pause: Delay, way: Delay, back: Delay }),
+      fc.record({ interval: Delay, outbound: Delay, inbound: Delay }),
       { minLength: 1, maxLength: 8 },
     ),
     moment: Delay,
-    way: Delay,
+    delay: Delay,
   });
   fc.assert(
-    fc.property(world, ({ ahead, drift, echoes, moment, way }) => {
+    fc.property(world, ({ ahead, drift, echoes, moment, delay }) => {
       const remote = (now: number) => now * (1 + drift / 1e6) + ahead;
       const clock = new RemoteClock();
       let now = 0;
       for (const echo of echoes) {
-        const sentAt = now + echo.pause;
-        const heardAt = remote(sentAt + echo.way);
-        now = sentAt + echo.way + echo.back;
+        const sentAt = now + echo.interval;
+        const heardAt = remote(sentAt + echo.outbound);
+        now = sentAt + echo.outbound + echo.inbound;
         clock.note({ sentAt, heardAt }, now);
       }
       const sentAt = now + moment;
-      const converted = clock.toLocal(remote(sentAt), sentAt + way);
+      const converted = clock.toLocal(remote(sentAt), sentAt + delay);
       assert.ok(converted !== undefined && converted <= sentAt + 1e-6);
     }),
   );
