--- a/src/gateway/limits/limit_table.ts
+++ b/src/gateway/limits/limit_table.ts
@@ -12,7 +12,7 @@
  * says: its time in transit. A link is closed after 900 ms without a line.
  */
 const MAX_RELAY_DELAY_MS = 1000;
-/** Maximum number of replicas whose limit, or its end, is remembered. */
+/** Maximum number of replicas whose limit, or its end, is stored. */
 const MAX_REPLICAS = 3000;
 
 /** What one response reports about its replica's limit. */
--- a/src/gateway/limits/replica_limits.ts
+++ b/src/gateway/limits/replica_limits.ts
@@ -225,7 +225,7 @@
   }
 
   /**
-   * Permits a send to a replica without a limit. The send is remembered, since
+   * Permits a send to a replica without a limit. The send is recorded, since
    * it counts against a limit that the replica names soon after.
    */
   #freePermit(replica: Replica): SendPermit {
--- a/src/gateway/replicas/listing_history.ts
+++ b/src/gateway/replicas/listing_history.ts
@@ -1,7 +1,7 @@
 /** Changes of the replica listing, from which deltas for followers are made. */
 import type { ListingDelta, ReplicaEntry } from "./model.ts";
 
-/** Maximum number of removed replicas that are remembered. */
+/** Maximum number of removed replicas that are stored. */
 const MAX_REMOVED = 1000;
 
 /** The revisions at which replicas last changed. */
--- a/src/gateway/replicas/replica.ts
+++ b/src/gateway/replicas/replica.ts
@@ -14,7 +14,7 @@
 /** Consecutive failures after which a replica is paused. */
 const FAILURES_TO_PAUSE = 2;
 
-/** Maximum number of sends that are remembered of a replica. */
+/** Maximum number of recorded sends of a replica. */
 const MAX_UNCOUNTED_SENDS = 256;
 
 /** One replica with this host's state of it. */
--- a/src/gateway/replicas/replica_table.ts
+++ b/src/gateway/replicas/replica_table.ts
@@ -10,8 +10,8 @@
 } from "./model.ts";
 import { Replica } from "./replica.ts";
 
-/** Maximum number of draining, and of removed, incarnations remembered. */
-const MAX_REMEMBERED = 10_000;
+/** Maximum number of draining, and of removed, incarnations that are stored. */
+const MAX_STORED = 10_000;
 /** Maximum number of draining incarnations reported although not listed. */
 const MAX_UNLISTED_DRAINING = 200;
 
@@ -187,7 +187,7 @@
     for (const { incarnation } of added) this.#removedAt.delete(incarnation);
     for (const { incarnation } of removed) {
       this.#removedAt.set(incarnation, this.#revision);
-      evictOldest(this.#removedAt, MAX_REMEMBERED);
+      evictOldest(this.#removedAt, MAX_STORED);
     }
   }
 
@@ -204,7 +204,7 @@
   #withDraining(entry: ReplicaEntry): ReplicaEntry {
     const { incarnation, leaving } = entry;
     if (leaving) this.#draining.add(incarnation);
-    evictOldest(this.#draining, MAX_REMEMBERED);
+    evictOldest(this.#draining, MAX_STORED);
     const isUnchanged = leaving || !this.#draining.has(incarnation);
     return isUnchanged ? entry : { ...entry, leaving: true };
   }
@@ -218,7 +218,7 @@
       !this.#draining.has(incarnation)
     );
     for (const incarnation of added) this.#draining.add(incarnation);
-    evictOldest(this.#draining, MAX_REMEMBERED);
+    evictOldest(this.#draining, MAX_STORED);
     return added;
   }
 
--- a/test/gateway/crashes/crash_watch_test.ts
+++ b/test/gateway/crashes/crash_watch_test.ts
@@ -10,7 +10,7 @@
 const fingerprintOf = (name: string) => () => name;
 
 /** Creates a watch in virtual time; probes take 2 ms. */
-function start(answer: () => ProbeResult) {
+function start(probeResult: () => ProbeResult) {
   const time = new VirtualTime();
   const probes: string[] = [];
   const watch = new CrashWatch({
@@ -22,7 +22,7 @@
     probe: (address) => {
       probes.push(address);
       return new Promise((resolve) => {
-        time.clock.after(2, () => resolve(answer()));
+        time.clock.after(2, () => resolve(probeResult()));
       });
     },
   });
--- a/test/gateway/limits/limit_fleet.ts
+++ b/test/gateway/limits/limit_fleet.ts
@@ -112,7 +112,7 @@
   }
 
   /** The highest number of requests within any span of a time range. */
-  mostWithin(spanMs: number, from: number, to: number): number {
+  maxRequestsWithin(spanMs: number, from: number, to: number): number {
     const times = this.arrivals.map((arrival) => arrival.at)
       .filter((at) => at >= from && at < to);
     return maxWithin(times, spanMs);
--- a/test/gateway/limits/limit_fleet_test.ts
+++ b/test/gateway/limits/limit_fleet_test.ts
@@ -88,7 +88,7 @@
     );
   }
   await fleet.fleet.runTo(END_MS);
-  const highest = fleet.mostWithin(windowMs, NAMED_MS + 5000, END_MS);
+  const highest = fleet.maxRequestsWithin(windowMs, NAMED_MS + 5000, END_MS);
   assert.ok(
     highest <= perSecond * windowMs / 1000 * 1.15,
     `${highest} requests`,
--- a/test/gateway/peers/host_rows_test.ts
+++ b/test/gateway/peers/host_rows_test.ts
@@ -53,7 +53,7 @@
 function startHost(
   known: readonly HostEntry[],
   followers: (now: number) => readonly HostEntry[],
-  isNamedByReader: (now: number) => boolean,
+  isListedByReader: (now: number) => boolean,
 ) {
   const time = { now: 0 };
   const timers: { at: number; work: () => void }[] = [];
@@ -97,7 +97,7 @@
       isBehind: () => false,
     } as unknown as Synchronizer,
     followers: () => followers(time.now),
-    isListedByReader: () => isNamedByReader(time.now),
+    isListedByReader: () => isListedByReader(time.now),
   });
   const run = async (untilMs: number) => {
     for (; time.now < untilMs; time.now += 100) {
--- a/test/gateway/quota/quota_fleet.ts
+++ b/test/gateway/quota/quota_fleet.ts
@@ -24,7 +24,7 @@
 /** Time after which an attempt to open a link fails. */
 const CONNECT_TIMEOUT_MS = 400;
 /** Time after which both ends close a link on which nothing arrives. */
-const SILENCE_TIMEOUT_MS = 1300;
+const LINK_TIMEOUT_MS = 1300;
 const REFRESH_INTERVAL_MS = 1000;
 
 export const BOUNDS: QuotaBounds = {
@@ -140,7 +140,7 @@
     for (const host of this.hosts) {
       for (const link of host.links) {
         if (this.#reaches(link.from, link.to)) continue;
-        this.at(this.#time.now + SILENCE_TIMEOUT_MS, () => {
+        this.at(this.#time.now + LINK_TIMEOUT_MS, () => {
           if (!this.#reaches(link.from, link.to)) link.close();
         });
       }
@@ -256,7 +256,7 @@
         const isCut = this.#sides.get(fromId) !== this.#sides.get(toId);
         const timeoutAt = Math.max(
           this.#time.now,
-          this.#cutAt + SILENCE_TIMEOUT_MS,
+          this.#cutAt + LINK_TIMEOUT_MS,
         );
         if (wasOpen && isCut) this.at(timeoutAt, removeMember);
         else if (wasOpen) removeMember();
--- a/test/gateway/replicas/draining_fleet_test.ts
+++ b/test/gateway/replicas/draining_fleet_test.ts
@@ -69,7 +69,7 @@
   for (const host of [...hosts, added]) assert.equal(openReplicasAt(host), "b");
 });
 
-test("hosts that were cut off learn of a draining replica when they link again", async () => {
+test("partitioned hosts receive the report of a draining replica when they reconnect", async () => {
   const fleet = await formedFleet(9, 2);
   const { hosts } = fleet;
   const isCutOff = (host: FleetHost) => host.entry.hall === "hall-1";
