--- a/src/gateway/limits/allowance.ts
+++ b/src/gateway/limits/allowance.ts
@@ -15,8 +15,8 @@
  */
 export const MIN_PER_SECOND = 0.2;
 /**
- * Time for which hosts store permits, to report them to a new owner. Longer than
- * {@link WINDOW_S}.
+ * Time for which hosts store permits, to report them to a new owner. Longer
+ * than {@link WINDOW_S}.
  */
 export const PERMIT_RETENTION_MS: Milliseconds = 5000;
 /**
