--- a/src/gateway/limits/limit_table.ts
+++ b/src/gateway/limits/limit_table.ts
@@ -1,7 +1,7 @@
 /**
- * The limits that replicas have named. Responses and messages of other hosts may
- * arrive out of order, so a limit starts or falls at once, and rises or ends only
- * by a response that was certainly made after the limit was named.
+ * The limits that replicas have named. Responses and messages of other hosts
+ * may arrive out of order, so a limit starts or falls at once, and rises or
+ * ends only by a response that was certainly made after the limit was named.
  */
 import type { Milliseconds } from "../../util/units.ts";
 import { evictOldest } from "../../util/evict_oldest.ts";
@@ -12,7 +12,7 @@
  * says: its time in transit. A link is closed after 900 ms without a line.
  */
 const MAX_RELAY_DELAY_MS = 1000;
-/** Maximum number of replicas whose limit, or its end, is remembered. */
+/** Maximum number of replicas whose limit, or its end, is stored. */
 const MAX_REPLICAS = 3000;
 
 /** What one response reports about its replica's limit. */
--- a/test/gateway/crashes/crash_watch_test.ts
+++ b/test/gateway/crashes/crash_watch_test.ts
@@ -10,7 +10,7 @@
 const fingerprintOf = (name: string) => () => name;
 
 /** Creates a watch in virtual time; probes take 2 ms. */
-function start(answer: () => ProbeResult) {
+function start(probeResult: () => ProbeResult) {
   const time = new VirtualTime();
   const probes: string[] = [];
   const watch = new CrashWatch({
@@ -22,14 +22,14 @@
     probe: (address) => {
       probes.push(address);
       return new Promise((resolve) => {
-        time.clock.after(2, () => resolve(answer()));
+        time.clock.after(2, () => resolve(probeResult()));
       });
     },
   });
-  const breaks = (name: string, isByReplica = true, entry = ENTRY) =>
+  const breaks = (name: string, endedByReplica = true, entry = ENTRY) =>
     watch.noteBrokenSend(entry, {
       fingerprint: fingerprintOf(name),
-      endedByReplica: isByReplica,
+      endedByReplica,
     });
   const crashed = () =>
     watch.all().records
@@ -78,10 +78,10 @@
 
 test("a draining replica that ends has not crashed", async () => {
   const { time, probes, watch, breaks, crashed } = start(() => "refused");
-  const leaving = { ...ENTRY, leaving: true };
-  breaks("one", true, leaving);
+  const draining = { ...ENTRY, leaving: true };
+  breaks("one", true, draining);
   await time.runTo(10);
-  watch.noteRemoved(leaving);
+  watch.noteRemoved(draining);
   assert.deepEqual([probes.length, crashed()], [0, []]);
 });
 
--- a/test/gateway/replicas/draining_fleet_test.ts
+++ b/test/gateway/replicas/draining_fleet_test.ts
@@ -22,7 +22,9 @@
   replicas.openReplicasOf("s").map(({ entry }) => entry.incarnation).sort()
     .join();
 
-/** A formed fleet with replicas "a" and "b", after the store became unreachable. */
+/**
+ * A formed fleet with replicas "a" and "b", after the store became unreachable.
+ */
 async function formedFleet(size: number, seed: number): Promise<StateFleet> {
   const fleet = new StateFleet(size, seed);
   for (const id of ["a", "b"]) fleet.store.putReplica(replicaEntry(id));
@@ -67,7 +69,7 @@
   for (const host of [...hosts, added]) assert.equal(openReplicasAt(host), "b");
 });
 
-test("hosts that were cut off learn of a draining replica when they link again", async () => {
+test("partitioned hosts receive the report of a draining replica when they reconnect", async () => {
   const fleet = await formedFleet(9, 2);
   const { hosts } = fleet;
   const isCutOff = (host: FleetHost) => host.entry.hall === "hall-1";
