--- a/bench/planner/main.ts
+++ b/bench/planner/main.ts
@@ -77,7 +77,7 @@
     isPaused: () => false,
     limitOf: () => undefined,
     noteFailure: () => undefined,
-    noteTry: () => undefined,
+    noteTrial: () => undefined,
     noteSuccess: () => undefined,
     random: () => 0,
     remoteHallPenalty: 0.1,
--- a/src/gateway/observe/event_names.ts
+++ b/src/gateway/observe/event_names.ts
@@ -112,7 +112,7 @@
   ),
   replicaPaused: warn(
     "replicas",
-    "A replica failed and is not used until its backoff ends",
+    "A replica failed and is not used until its pause ends",
     STATE_CHANGES_PER_SECOND,
   ),
   replicaCrashed: warn(
--- a/src/gateway/planning/plain_assigner.ts
+++ b/src/gateway/planning/plain_assigner.ts
@@ -73,7 +73,7 @@
     const replica = mayGrant ? this.#choose(queued, replicas, now) : undefined;
     if (replica) {
       const { incarnation } = replica;
-      view.noteTry(incarnation, now);
+      view.noteTrial(incarnation, now);
       pacer.noteGrant(incarnation, now);
       share.noteGrant(priority, now);
       return { type: "replica", replica };
--- a/src/gateway/planning/plan_service.ts
+++ b/src/gateway/planning/plan_service.ts
@@ -46,7 +46,7 @@
       limitOf: (incarnation) => context.limits.limitOf(incarnation),
       noteFailure: (incarnation, now) =>
         context.replicas.get(incarnation)?.noteFailure(now, false),
-      noteTry: (incarnation, now) =>
+      noteTrial: (incarnation, now) =>
         context.replicas.get(incarnation)?.noteTrial(now),
       noteSuccess: (incarnation) =>
         context.replicas.get(incarnation)?.noteSuccess(),
--- a/src/gateway/planning/view.ts
+++ b/src/gateway/planning/view.ts
@@ -19,7 +19,7 @@
   /** Reports that a replica failed a request that it was assigned. */
   noteFailure(incarnation: string, now: Milliseconds): void;
   /** Reports that a request is assigned to a replica. */
-  noteTry(incarnation: string, now: Milliseconds): void;
+  noteTrial(incarnation: string, now: Milliseconds): void;
   /** Reports that a replica completed a prefill or a request. */
   noteSuccess(incarnation: string): void;
   /** In [0, 1). */
--- a/src/gateway/replicas/replica_table.ts
+++ b/src/gateway/replicas/replica_table.ts
@@ -20,7 +20,7 @@
   /**
    * Keep missing replicas that aren't draining: the listing may lack live ones.
    */
-  readonly keepMissing?: boolean;
+  readonly retainMissing?: boolean;
   /**
    * Exclude replicas that were removed in an earlier era, since the store may
    * have been restored from a backup. They must not get new requests.
@@ -33,8 +33,8 @@
   readonly added: readonly ReplicaEntry[];
   readonly removed: readonly ReplicaEntry[];
   readonly draining: readonly ReplicaEntry[];
-  /** Not listed, but kept, since the store may have lost their entries. */
-  readonly kept: readonly ReplicaEntry[];
+  /** Not listed, but retained, since the store may have lost their entries. */
+  readonly retained: readonly ReplicaEntry[];
   /** Ids of replicas that are new, restarted, or whose entry has changed. */
   readonly changedIds: readonly string[];
 };
@@ -43,7 +43,7 @@
   added: [],
   removed: [],
   draining: [],
-  kept: [],
+  retained: [],
   changedIds: [],
 };
 
@@ -62,7 +62,7 @@
    */
   readonly #removedAt = new Map<string, Position>();
   /**
-   * Whether replicas were kept that the listing lacks, or listed ones excluded.
+   * Whether replicas were retained that the listing lacks, or listed ones excluded.
    */
   #differsFromListing = false;
 
@@ -92,7 +92,7 @@
   /** Adopts a full listing; returns undefined if it is older than the table. */
   adopt(
     listing: ReplicaListing,
-    { keepMissing = false, excludeRemoved = false }: AdoptOptions = {},
+    { retainMissing = false, excludeRemoved = false }: AdoptOptions = {},
   ): ListingChange | undefined {
     if (listing.revision < this.#revision) return undefined;
     this.#revision = listing.revision;
@@ -102,12 +102,12 @@
     const entries = excludeRemoved
       ? listed.filter((entry) => !this.#wasRemovedInEarlierEra(entry))
       : listed;
-    const change = diffListing(before, entries, keepMissing);
-    this.#differsFromListing = change.kept.length > 0 ||
+    const change = diffListing(before, entries, retainMissing);
+    this.#differsFromListing = change.retained.length > 0 ||
       entries.length < listed.length;
     this.#noteRemoved(change);
     this.#byIncarnation = new Map();
-    for (const entry of [...entries, ...change.kept]) {
+    for (const entry of [...entries, ...change.retained]) {
       const known = before.get(entry.incarnation);
       this.#byIncarnation.set(entry.incarnation, createOrUpdate(known, entry));
     }
@@ -261,7 +261,7 @@
 function diffListing(
   before: ReadonlyMap<string, Replica>,
   entries: readonly ReplicaEntry[],
-  keepMissing: boolean,
+  retainMissing: boolean,
 ): ListingChange {
   const listed = new Set(entries.map((entry) => entry.incarnation));
   const ids = new Set(entries.map((entry) => entry.id));
@@ -269,14 +269,14 @@
   const missing = [...before.values()].map((replica) => replica.entry)
     .filter((entry) => !listed.has(entry.incarnation));
   const isKept = (entry: ReplicaEntry) =>
-    keepMissing && !entry.leaving && !ids.has(entry.id);
+    retainMissing && !entry.leaving && !ids.has(entry.id);
   return {
     added: entries.filter((entry) => !knownOf(entry)),
     draining: entries.filter((entry) =>
       entry.leaving && knownOf(entry)?.leaving === false
     ),
     removed: missing.filter((entry) => !isKept(entry)),
-    kept: missing.filter(isKept),
+    retained: missing.filter(isKept),
     changedIds: entries.filter((entry) => !isSameEntry(entry, knownOf(entry)))
       .map((entry) => entry.id),
   };
--- a/src/gateway/state/synchronizer.ts
+++ b/src/gateway/state/synchronizer.ts
@@ -175,7 +175,7 @@
     eras.observe(listing.revision, now);
     if (eraOf(listing.revision) < eras.era) return false;
     const change = replicas.adopt(listing, {
-      keepMissing: this.retainsMissing(now),
+      retainMissing: this.retainsMissing(now),
       excludeRemoved: !eras.isSettled(now),
     });
     if (change) this.#noteChange(change, listing.revision, source);
--- a/src/gateway/upstreams/engine_call.ts
+++ b/src/gateway/upstreams/engine_call.ts
@@ -24,7 +24,7 @@
   },
 ): Promise<JsonAnswer | undefined> {
   const sentAt = clock.now();
-  const answer = await pool.sendSmall(entry, call, timeoutMs);
+  const answer = await pool.sendControlCall(entry, call, timeoutMs);
   if (!answer) return undefined;
   const notice = dialect.readAnswer(answer.status, answer.headers ?? {});
   if (!notice.misdirected) {
--- a/src/gateway/upstreams/pool.ts
+++ b/src/gateway/upstreams/pool.ts
@@ -56,7 +56,7 @@
    * Makes a control call; undefined if no complete response arrives within
    * `timeoutMs`.
    */
-  async sendSmall(
+  async sendControlCall(
     entry: { readonly address: string; readonly incarnation: string },
     controlCall: JsonCall & { readonly headers?: readonly string[] },
     timeoutMs: Milliseconds,
--- a/test/gateway/planning/planner_rig.ts
+++ b/test/gateway/planning/planner_rig.ts
@@ -31,7 +31,7 @@
     isPaused: () => false,
     limitOf: () => undefined,
     noteFailure: () => undefined,
-    noteTry: () => undefined,
+    noteTrial: () => undefined,
     noteSuccess: () => undefined,
     random: () => 0,
     remoteHallPenalty: 0.1,
--- a/test/gateway/replicas/replica_table_test.ts
+++ b/test/gateway/replicas/replica_table_test.ts
@@ -71,13 +71,15 @@
   assert.equal(replica.isPaused(901), false);
 });
 
-test("missing replicas are kept only with keepMissing", () => {
+test("missing replicas are retained only with retainMissing", () => {
   const table = new ReplicaTable();
   table.adopt({ revision: 1, entries: [entry("a"), entry("b", true)] });
   const change = table.adopt({ revision: 2, entries: [] }, {
-    keepMissing: true,
+    retainMissing: true,
   });
-  assert.deepEqual(change?.kept.map((replica) => replica.incarnation), ["a"]);
+  assert.deepEqual(change?.retained.map((replica) => replica.incarnation), [
+    "a",
+  ]);
   assert.deepEqual(change?.removed.map((replica) => replica.incarnation), [
     "b",
   ]);
@@ -124,13 +126,13 @@
   );
 });
 
-test("with keepMissing, the predecessor of a restarted replica is not kept", () => {
+test("with retainMissing, the predecessor of a restarted replica is not retained", () => {
   const table = new ReplicaTable();
   table.adopt({ revision: 1, entries: [startedEntry(1)] });
   const change = table.adopt({ revision: 2, entries: [startedEntry(2)] }, {
-    keepMissing: true,
+    retainMissing: true,
   });
-  assert.deepEqual(change?.kept, []);
+  assert.deepEqual(change?.retained, []);
   assert.equal(table.size, 1);
 });
 
@@ -146,11 +148,11 @@
   assert.deepEqual(follower.entries(), reader.entries());
 });
 
-test("a table with kept replicas needs a full listing", () => {
+test("a table with retained replicas needs a full listing", () => {
   const table = new ReplicaTable();
   table.adopt({ revision: 1, entries: [entry("a"), entry("b")] });
   assert.equal(table.deltaBase, 1);
-  table.adopt({ revision: 2, entries: [entry("a")] }, { keepMissing: true });
+  table.adopt({ revision: 2, entries: [entry("a")] }, { retainMissing: true });
   assert.equal(table.deltaBase, -1);
   // The number of replicas matches, their ids don't.
   const delta = { since: 2, revision: 3, changed: [], gone: [], size: 2 };
--- a/test/gateway/requests/placements_test.ts
+++ b/test/gateway/requests/placements_test.ts
@@ -69,7 +69,7 @@
       readReservation: () => undefined,
       readAnswer: testDialect.readAnswer,
     },
-    pool: { sendSmall: () => Promise.resolve({ status: 503, body: "" }) },
+    pool: { sendControlCall: () => Promise.resolve({ status: 503, body: "" }) },
     events: { note: () => undefined },
     metrics: new Metrics(),
     limits: singleHostLimits(),
--- a/test/gateway/stages/stage_loop_test.ts
+++ b/test/gateway/stages/stage_loop_test.ts
@@ -90,7 +90,7 @@
       readAnswer: testDialect.readAnswer,
     },
     pool: {
-      sendSmall: (
+      sendControlCall: (
         { incarnation }: ReplicaEntry,
         { path }: { path: string },
       ) => {
